--- a/packages/message-tables/include/emberdale/avro_record_codec.hpp
+++ b/packages/message-tables/include/emberdale/avro_record_codec.hpp
@@ -11,7 +11,7 @@
 #include <string>
 #include <vector>
 
-#include "emberdale/record_tables.hpp"
+#include "emberdale/bytes.hpp"
 
 namespace emberdale::avro_records {
 
@@ -30,18 +30,18 @@
 
 template <class T>
 std::string record_schema(SchemaWriter& writer) {
-  if (writer.named.count(T::record_name) != 0)
-    return std::string("\"") + T::record_name + "\"";
-  std::size_t& count = writer.named[T::record_name];
+  if (writer.named.count(T::wire_name) != 0)
+    return std::string("\"") + T::wire_name + "\"";
+  std::size_t& count = writer.named[T::wire_name];
   std::size_t bound = SIZE_MAX;
   if (writer.shape != nullptr) {
-    auto known = writer.shape->find(T::record_name);
+    auto known = writer.shape->find(T::wire_name);
     bound = known == writer.shape->end() ? 0 : known->second;
   }
-  std::string text = std::string("{\"type\":\"record\",\"name\":\"") + T::record_name + "\",\"fields\":[";
+  std::string text = std::string("{\"type\":\"record\",\"name\":\"") + T::wire_name + "\",\"fields\":[";
   std::size_t all = 0;
   T blank{};
-  T::each_field(blank, [&](const char* name, auto& field) {
+  T::visit_fields(blank, [&](const char* name, auto& field) {
     using Field = std::decay_t<decltype(field)>;
     if (++all > bound)
       return;
@@ -50,9 +50,9 @@
   });
   count = std::min(all, bound);
   if (writer.shape != nullptr && bound == 0)
-    writer.fault = std::string("names no fields of ") + T::record_name;
+    writer.fault = std::string("names no fields of ") + T::wire_name;
   if (writer.shape != nullptr && bound > all)
-    writer.fault = std::string(T::record_name) + " has " + std::to_string(bound) + " fields, " + std::to_string(all) +
+    writer.fault = std::string(T::wire_name) + " has " + std::to_string(bound) + " fields, " + std::to_string(all) +
                    " are known here: written by a newer version";
   return text + "]}";
 }
@@ -67,7 +67,7 @@
   static std::string schema(SchemaWriter& writer) { return record_schema<T>(writer); }
   static void write(avro_value_t* slot, const T& record) {
     std::size_t index = 0;
-    T::each_field(record, [&](const char*, const auto& field) {
+    T::visit_fields(record, [&](const char*, const auto& field) {
       avro_value_t inner;
       must(avro_value_get_by_index(slot, index++, &inner, nullptr));
       FieldCodec<std::decay_t<decltype(field)>>::write(&inner, field);
@@ -77,7 +77,7 @@
   static void read(const avro_value_t* slot, T& record) {
     std::size_t index = 0, count = 0;
     must(avro_value_get_size(slot, &count));
-    T::each_field(record, [&](const char*, auto& field) {
+    T::visit_fields(record, [&](const char*, auto& field) {
       if (index >= count)
         return;
       avro_value_t inner;
@@ -239,7 +239,7 @@
   try {
     return read_record<T>(record_face<T>(), start, size);
   } catch (const std::exception& fault) {
-    return failure(std::string("not a ") + T::record_name + ": " + fault.what());
+    return failure(std::string("not a ") + T::wire_name + ": " + fault.what());
   }
 }
 
@@ -333,7 +333,7 @@
 template <class T>
 Outcome<T> decode_versioned(const std::string& bytes, const RecordShape& legacy) {
   auto refuse = [](const std::string& reason) {
-    return failure(std::string("not a ") + T::record_name + ": " + reason);
+    return failure(std::string("not a ") + T::wire_name + ": " + reason);
   };
   try {
     if (!is_versioned(bytes))
--- a/packages/message-tables/tests/golden_bytes_test.cpp
+++ b/packages/message-tables/tests/golden_bytes_test.cpp
@@ -42,7 +42,7 @@
   }
   template <class Record>
   void fill(Record& record) {
-    Record::each_field(record, [this](const char*, auto& field) { this->fill(field); });
+    Record::visit_fields(record, [this](const char*, auto& field) { this->fill(field); });
   }
 
  private:
@@ -93,7 +93,7 @@
 
 template <class Record, class Encode, class Decode>
 GoldenLine record_line(const std::string& kind, std::size_t number, Encode encode, Decode decode) {
-  std::string label = kind + " " + std::to_string(number) + " " + Record::record_name;
+  std::string label = kind + " " + std::to_string(number) + " " + Record::wire_name;
   return {label, to_hex(encode(filled<Record>())), recoder(encode, decode)};
 }
 
@@ -111,7 +111,7 @@
 GoldenLine disk_schema_line(std::size_t number) {
   avro_records::SchemaWriter writer;
   std::string schema = avro_records::record_schema<Record>(writer);
-  return {"disk schema " + std::to_string(number) + " " + Record::record_name, content_digest(schema), nullptr};
+  return {"disk schema " + std::to_string(number) + " " + Record::wire_name, content_digest(schema), nullptr};
 }
 
 // What the code of today gives.
--- a/packages/message-tables/tests/versioned_records_test.cpp
+++ b/packages/message-tables/tests/versioned_records_test.cpp
@@ -13,20 +13,70 @@
 
 // Two versions of one record, which holds another that also grew.
 namespace earlier {
-#define EARLIER_POINT(F) F(Integer, x) F(Text, label)
-EMBERDALE_RECORD(Point, EARLIER_POINT)
-#define EARLIER_PLAN(F) F(Text, name) F(std::vector<Point>, points) F(Integer, version)
-EMBERDALE_RECORD(Plan, EARLIER_PLAN)
+struct Point {
+  static constexpr const char* wire_name = "Point";
+  std::int64_t x = 0;
+  std::string label;
+  template <class Self, class Visitor>
+  static void visit_fields(Self& self, Visitor&& visit) {
+    visit("x", self.x);
+    visit("label", self.label);
+  }
+};
+
+struct Plan {
+  static constexpr const char* wire_name = "Plan";
+  std::string name;
+  std::vector<Point> points;
+  std::int64_t version = 0;
+  template <class Self, class Visitor>
+  static void visit_fields(Self& self, Visitor&& visit) {
+    visit("name", self.name);
+    visit("points", self.points);
+    visit("version", self.version);
+  }
+};
 }  // namespace earlier
 
 namespace later {
-#define LATER_POINT(F) F(Integer, x) F(Text, label) F(Integer, y)
-EMBERDALE_RECORD(Point, LATER_POINT)
-#define LATER_COLOUR(F) F(Text, shade)
-EMBERDALE_RECORD(Colour, LATER_COLOUR)
-#define LATER_PLAN(F) \
-  F(Text, name) F(std::vector<Point>, points) F(Integer, version) F(std::vector<Colour>, colours) F(bool, is_open)
-EMBERDALE_RECORD(Plan, LATER_PLAN)
+struct Point {
+  static constexpr const char* wire_name = "Point";
+  std::int64_t x = 0;
+  std::string label;
+  std::int64_t y = 0;
+  template <class Self, class Visitor>
+  static void visit_fields(Self& self, Visitor&& visit) {
+    visit("x", self.x);
+    visit("label", self.label);
+    visit("y", self.y);
+  }
+};
+
+struct Colour {
+  static constexpr const char* wire_name = "Colour";
+  std::string shade;
+  template <class Self, class Visitor>
+  static void visit_fields(Self& self, Visitor&& visit) {
+    visit("shade", self.shade);
+  }
+};
+
+struct Plan {
+  static constexpr const char* wire_name = "Plan";
+  std::string name;
+  std::vector<Point> points;
+  std::int64_t version = 0;
+  std::vector<Colour> colours;
+  bool is_open = false;
+  template <class Self, class Visitor>
+  static void visit_fields(Self& self, Visitor&& visit) {
+    visit("name", self.name);
+    visit("points", self.points);
+    visit("version", self.version);
+    visit("colours", self.colours);
+    visit("is_open", self.is_open);
+  }
+};
 }  // namespace later
 
 const RecordShape no_legacy;
