--- a/packages/call-matching/src/traffic_view.cpp
+++ b/packages/call-matching/src/routing_view.cpp
@@ -1,4 +1,4 @@
-#include "emberdale/traffic_view.hpp"
+#include "emberdale/routing_view.hpp"
 
 #include <algorithm>
 #include <set>
@@ -7,58 +7,58 @@
 
 namespace emberdale {
 
-bool SliceBook::apply(const SliceNews& news) {
-  if (!holders_[news.topic].apply(news))
+bool SliceCache::apply(const SliceUpdate& update) {
+  if (!holders_[update.topic].apply(update))
     return false;
   fold();
   return true;
 }
 
-std::vector<std::string> SliceBook::topics() const { return {topics_.begin(), topics_.end()}; }
+std::vector<std::string> SliceCache::topics() const { return {topics_.begin(), topics_.end()}; }
 
-MapVersion SliceBook::version_of(const std::string& topic) const {
+MapVersion SliceCache::version_of(const std::string& topic) const {
   auto holder = holders_.find(topic);
   return holder == holders_.end() ? MapVersion{} : holder->second.version();
 }
 
-MapVersion SliceBook::oldest_version() const {
+MapVersion SliceCache::oldest_version() const {
   MapVersion oldest = version_of(plans_topic);
   for (const auto& topic : topics_)
     oldest = std::min(oldest, version_of(topic));
   return oldest;
 }
 
-std::vector<TopicKnown> SliceBook::known() const {
-  std::vector<TopicKnown> known;
+std::vector<TopicVersion> SliceCache::known() const {
+  std::vector<TopicVersion> known;
   for (const auto& topic : topics())
     known.push_back({topic, version_of(topic)});
   return known;
 }
 
 // Rows that have not changed are not read anew: a table may have thousands of routes.
-void SliceBook::fold_traffic(const std::string& key, const std::string& body, TrafficView& view) {
+void SliceCache::fold_routing_table(const std::string& key, const std::string& body, RoutingView& view) {
   if (key.rfind("route/", 0) == 0) {
     auto& known = read_routes_[key];
     if (known.first != body) {
-      auto route = read_traffic_route(body);
+      auto route = read_route_document(body);
       if (!route)
         return;
       known = {body, std::move(*route)};
     }
     view.routes.push_back(known.second);
   } else if (key.rfind("pool/", 0) == 0) {
-    if (auto pool = read_traffic_pool(body))
-      view.traffic_pools[pool->name] = std::move(*pool);
+    if (auto pool = read_route_pool(body))
+      view.route_pools[pool->name] = std::move(*pool);
   } else if (key == "limits") {
-    view.limits = read_traffic_limits(body);
+    view.limits = read_request_limits(body);
   } else if (key == "revision") {
-    view.has_traffic = true;
+    view.has_routing_table = true;
     view.traffic_revision = std::strtoll(body.c_str(), nullptr, 10);
   }
 }
 
-void SliceBook::fold() {
-  auto view = std::make_shared<TrafficView>();
+void SliceCache::fold() {
+  auto view = std::make_shared<RoutingView>();
   const auto& plans = holders_[plans_topic];
   view->version = plans.version();
   view->config_revision = plans.config_revision();
@@ -82,7 +82,7 @@
       if (auto row = decode_gateway_row(body))
         view->edges.push_back(std::move(*row));
     } else if (key.rfind("traffic/", 0) == 0) {
-      fold_traffic(key.substr(8), body, *view);
+      fold_routing_table(key.substr(8), body, *view);
     } else if (auto row = decode_region_row(body)) {
       view->regions[{row->pool, row->region}] = *row;
     }
@@ -91,7 +91,7 @@
   std::set<PoolName> pools;
   for (const auto& plan : view->plans)
     pools.insert(plan.pool);
-  for (const auto& [name, pool] : view->traffic_pools)
+  for (const auto& [name, pool] : view->route_pools)
     pools.insert(name);
   for (const auto& pool : pools)
     topics_.insert(pool_topic(pool));
--- a/packages/call-matching/tests/call_matching_test.cpp
+++ b/packages/call-matching/tests/call_matching_test.cpp
@@ -11,9 +11,9 @@
 const std::vector<AcceptorEntry> cores{
     {StoreId{"s1"}, Address{"c1"}}, {StoreId{"s2"}, Address{"c2"}}, {StoreId{"s3"}, Address{"c3"}}};
 
-ReadAnswer answer(Integer ask, const std::string& store, MapVersion minimum_version, Integer ballot = 5) {
-  ReadAnswer made;
-  made.ask = ask;
+ReadResponse answer(std::int64_t ask, const std::string& store, MapVersion minimum_version, std::int64_t ballot = 5) {
+  ReadResponse made;
+  made.request_id = ask;
   made.store.text = store;
   made.accepted = {ballot, Address{"p"}};
   made.minimum_version = minimum_version;
@@ -21,8 +21,8 @@
   return made;
 }
 
-std::shared_ptr<TrafficView> view_with(int warm, const std::string& plan_extra, MapVersion version = {1, 1}) {
-  auto view = std::make_shared<TrafficView>();
+std::shared_ptr<RoutingView> view_with(int warm, const std::string& plan_extra, MapVersion version = {1, 1}) {
+  auto view = std::make_shared<RoutingView>();
   view->version = version;
   std::vector<Finding> findings;
   view->plans.push_back(
@@ -59,24 +59,24 @@
   return made;
 }
 
-const Grant always{Moment{1000000}, {1, 1}};
+const Grant always{TimePoint{1000000}, {1, 1}};
 
 }  // namespace
 
-TEST(GrantKeeper, CountsFromBeforeTheAskAndNeedsAMajorityThatShowsNoNewerFloor) {
-  GrantKeeper keeper;
+TEST(LeaseManager, CountsFromBeforeTheAskAndNeedsAMajorityThatShowsNoNewerFloor) {
+  LeaseManager keeper;
   keeper.learn_acceptors(cores);
-  keeper.ask(Moment{100});
-  EXPECT_EQ(keeper.take_out().size(), 3u);
-  keeper.on_answer(answer(1, "s1", {1, 4}), {1, 4}, Moment{900});
-  keeper.on_answer(answer(1, "s1", {1, 4}), {1, 4}, Moment{900});  // the same copy twice is one
+  keeper.ask(TimePoint{100});
+  EXPECT_EQ(keeper.drain_outbound().size(), 3u);
+  keeper.on_response(answer(1, "s1", {1, 4}), {1, 4}, TimePoint{900});
+  keeper.on_response(answer(1, "s1", {1, 4}), {1, 4}, TimePoint{900});  // the same copy twice is one
   EXPECT_LT(keeper.grant().until.value, 0);
-  keeper.on_answer(answer(1, "s2", {1, 4}), {1, 4}, Moment{1500});
+  keeper.on_response(answer(1, "s2", {1, 4}), {1, 4}, TimePoint{1500});
   EXPECT_EQ(keeper.grant().until.value, 100 + grant_length.value);
   // One copy of the majority shows a newer minimum version: no grant for the old map ...
-  keeper.ask(Moment{2000});
-  keeper.on_answer(answer(2, "s1", {1, 4}), {1, 4}, Moment{2010});
-  keeper.on_answer(answer(2, "s3", {1, 5}, 6), {1, 4}, Moment{2020});
+  keeper.ask(TimePoint{2000});
+  keeper.on_response(answer(2, "s1", {1, 4}), {1, 4}, TimePoint{2010});
+  keeper.on_response(answer(2, "s3", {1, 5}, 6), {1, 4}, TimePoint{2020});
   EXPECT_EQ(keeper.grant().until.value, 100 + grant_length.value);
   // ... until the newer map is here; the time still counts from before the ask.
   keeper.on_version({1, 5});
@@ -84,30 +84,30 @@
   EXPECT_EQ(keeper.grant().minimum_version, (MapVersion{1, 5}));
 }
 
-TEST(GrantKeeper, AStoreThatIsNotOfTheSetGivesNoProof) {
-  GrantKeeper keeper;
+TEST(LeaseManager, AStoreThatIsNotOfTheSetGivesNoProof) {
+  LeaseManager keeper;
   keeper.learn_acceptors(cores);
-  keeper.ask(Moment{100});
-  keeper.on_answer(answer(1, "s1", {1, 4}), {1, 4}, Moment{110});
-  keeper.on_answer(answer(1, "wiped", {1, 4}), {1, 4}, Moment{110});
+  keeper.ask(TimePoint{100});
+  keeper.on_response(answer(1, "s1", {1, 4}), {1, 4}, TimePoint{110});
+  keeper.on_response(answer(1, "wiped", {1, 4}), {1, 4}, TimePoint{110});
   EXPECT_LT(keeper.grant().until.value, 0);
 }
 
 TEST(CallDispatcher, SendsOnlyUnderAGrantThatCoversItsMap) {
   CallDispatcher dispatcher(here());
-  dispatcher.see(view_with(2, ""), Moment{0});
+  dispatcher.see(view_with(2, ""), TimePoint{0});
   auto step = [&](std::int64_t from, std::int64_t to) {
     for (std::int64_t ms = from; ms <= to; ms += 100)
-      dispatcher.on_timer(Moment{ms});
+      dispatcher.on_timer(TimePoint{ms});
   };
   step(0, 1000);  // awake for a second without a grant
-  EXPECT_EQ(dispatcher.arrive(call("a"), Moment{1000}, 1)->code, 503);
-  dispatcher.set_grant({Moment{2000}, {1, 2}});  // proven for a newer map only
-  EXPECT_EQ(dispatcher.arrive(call("b"), Moment{1000}, 2)->code, 503);
-  dispatcher.set_grant({Moment{2000}, {1, 1}});
-  EXPECT_FALSE(dispatcher.arrive(call("c"), Moment{1000}, 3));
+  EXPECT_EQ(dispatcher.admit(call("a"), TimePoint{1000}, 1)->code, 503);
+  dispatcher.set_grant({TimePoint{2000}, {1, 2}});  // proven for a newer map only
+  EXPECT_EQ(dispatcher.admit(call("b"), TimePoint{1000}, 2)->code, 503);
+  dispatcher.set_grant({TimePoint{2000}, {1, 1}});
+  EXPECT_FALSE(dispatcher.admit(call("c"), TimePoint{1000}, 3));
   step(1100, 3100);
-  EXPECT_EQ(dispatcher.arrive(call("d"), Moment{3100}, 4)->code, 503);  // run out a second ago
+  EXPECT_EQ(dispatcher.admit(call("d"), TimePoint{3100}, 4)->code, 503);  // run out a second ago
   auto sends = dispatcher.take_sends();
   ASSERT_EQ(sends.size(), 1u);
   EXPECT_EQ(sends[0].call, 3);
@@ -115,19 +115,19 @@
 
 TEST(CallDispatcher, ACallWaitsForTheGrantOnlyWhereOneIsBeingAskedFor) {
   CallDispatcher dispatcher(here());
-  dispatcher.see(view_with(2, ""), Moment{0});
-  EXPECT_FALSE(dispatcher.arrive(call("a"), Moment{0}, 1));  // it has just started
-  EXPECT_TRUE(dispatcher.take_sends().empty());              // and sends nothing without a grant
-  dispatcher.set_grant({Moment{2100}, {1, 1}});
-  dispatcher.see(view_with(2, ""), Moment{100});
+  dispatcher.see(view_with(2, ""), TimePoint{0});
+  EXPECT_FALSE(dispatcher.admit(call("a"), TimePoint{0}, 1));  // it has just started
+  EXPECT_TRUE(dispatcher.take_sends().empty());                // and sends nothing without a grant
+  dispatcher.set_grant({TimePoint{2100}, {1, 1}});
+  dispatcher.see(view_with(2, ""), TimePoint{100});
   EXPECT_EQ(dispatcher.take_sends().size(), 1u);
   // Nine seconds asleep: the grant has run out, and is asked for anew.
-  EXPECT_FALSE(dispatcher.arrive(call("b"), Moment{9100}, 2));
+  EXPECT_FALSE(dispatcher.admit(call("b"), TimePoint{9100}, 2));
   EXPECT_TRUE(dispatcher.take_sends().empty());
   for (std::int64_t ms = 9100; ms < 9700; ms += 50)
-    dispatcher.on_timer(Moment{ms});
+    dispatcher.on_timer(TimePoint{ms});
   EXPECT_TRUE(dispatcher.take_finals().empty());
-  dispatcher.on_timer(Moment{9700});  // its patience is over: the final answer comes now, not at its deadline
+  dispatcher.on_timer(TimePoint{9700});  // its patience is over: the final answer comes now, not at its deadline
   auto finals = dispatcher.take_finals();
   ASSERT_EQ(finals.size(), 1u);
   EXPECT_EQ(finals[0].call, 2);
@@ -139,15 +139,15 @@
 TEST(CallDispatcher, TheSamePrefixGoesToTheSameRunnerUntilThatOneIsLoaded) {
   CallDispatcher dispatcher(here());
   dispatcher.set_grant(always);
-  dispatcher.see(view_with(12, R"(,"prefix_bytes":8)"), Moment{0});
+  dispatcher.see(view_with(12, R"(,"prefix_bytes":8)"), TimePoint{0});
   std::map<std::string, int> by_runner;
   for (CallIndex i = 1; i <= 2; ++i)
-    dispatcher.arrive(call("c" + std::to_string(i), "the same opening"), Moment{0}, i);
+    dispatcher.admit(call("c" + std::to_string(i), "the same opening"), TimePoint{0}, i);
   for (auto& act : dispatcher.take_sends())
     ++by_runner[act.runner.text];
   EXPECT_EQ(by_runner.size(), 1u);
   for (CallIndex i = 3; i <= 14; ++i)
-    dispatcher.arrive(call("c" + std::to_string(i), "the same opening"), Moment{0}, i);
+    dispatcher.admit(call("c" + std::to_string(i), "the same opening"), TimePoint{0}, i);
   for (auto& act : dispatcher.take_sends())
     ++by_runner[act.runner.text];
   EXPECT_GT(by_runner.size(), 2u);  // a crowd with one opening is spread
@@ -162,35 +162,35 @@
   auto& row = view->runners.begin()->second;
   row.status = "cold";
   row.allowance = 3;
-  row.grants = {{Address{"d1"}, 2}, {Address{"d2"}, 1}};
-  dispatcher.see(view, Moment{0});
+  row.warmup_grants = {{Address{"d1"}, 2}, {Address{"d2"}, 1}};
+  dispatcher.see(view, TimePoint{0});
   for (CallIndex i = 1; i <= 6; ++i)
-    dispatcher.arrive(call("c" + std::to_string(i)), Moment{0}, i);
+    dispatcher.admit(call("c" + std::to_string(i)), TimePoint{0}, i);
   EXPECT_EQ(dispatcher.take_sends().size(), 2u);
 }
 
 TEST(CallDispatcher, HomedWorkIsNeverMatchedAbroadAndFreeWorkSpillsWithinItsLimit) {
   CallDispatcher homed(here());
   homed.set_grant(always);
-  homed.see(view_with(4, R"(,"home":{"header":"x-home"})"), Moment{0});
+  homed.see(view_with(4, R"(,"home":{"header":"x-home"})"), TimePoint{0});
   auto abroad = call("a");
   abroad.headers["x-home"] = "there";
-  EXPECT_EQ(homed.arrive(abroad, Moment{0}, 1)->code, 421);
-  EXPECT_EQ(homed.arrive(call("b"), Moment{0}, 2)->code, 400);  // names no home
+  EXPECT_EQ(homed.admit(abroad, TimePoint{0}, 1)->code, 421);
+  EXPECT_EQ(homed.admit(call("b"), TimePoint{0}, 2)->code, 400);  // names no home
   for (CallIndex i = 3; i <= 30; ++i) {
     auto at_home = call("c" + std::to_string(i));
     at_home.headers["x-home"] = "here";
-    homed.arrive(at_home, Moment{0}, i);
+    homed.admit(at_home, TimePoint{0}, i);
   }
   for (auto& act : homed.take_sends())
     EXPECT_TRUE(act.runner.text == "r0" || act.runner.text == "r2") << act.runner.text;
 
   CallDispatcher free_dispatcher(here());
   free_dispatcher.set_grant(always);
-  free_dispatcher.see(view_with(4, R"(,"spill":{"allowed":true,"limit_percent":25})"), Moment{0});
+  free_dispatcher.see(view_with(4, R"(,"spill":{"allowed":true,"limit_percent":25})"), TimePoint{0});
   int spilled = 0, sent = 0;
   for (CallIndex i = 1; i <= 30; ++i)
-    free_dispatcher.arrive(call("s" + std::to_string(i)), Moment{0}, i);
+    free_dispatcher.admit(call("s" + std::to_string(i)), TimePoint{0}, i);
   for (auto& act : free_dispatcher.take_sends()) {
     ++sent;
     spilled += act.runner.text == "r1" || act.runner.text == "r3";
@@ -202,16 +202,17 @@
 TEST(CallDispatcher, RetriesStayWithinAFifthOfTheSendsAndASmallAllowance) {
   CallDispatcher dispatcher(here());
   dispatcher.set_grant(always);
-  dispatcher.see(view_with(8, R"(,"repeatable":true)"), Moment{0});
+  dispatcher.see(view_with(8, R"(,"repeatable":true)"), TimePoint{0});
   CallIndex index = 0;
   std::int64_t sends = 0;
   for (int round = 0; round < 300; ++round) {
-    Moment now{std::int64_t{round} * 100};
-    dispatcher.arrive(call("c" + std::to_string(round)), now, ++index);
+    TimePoint now{std::int64_t{round} * 100};
+    dispatcher.admit(call("c" + std::to_string(round)), now, ++index);
     for (int hop = 0; hop < 6; ++hop)
       for (auto& act : dispatcher.take_sends()) {  // every runner loses every call
         ++sends;
-        dispatcher.end_send({act.call, SendEndKind::lost, "no answer within the deadline", false, 0, 0, 0, false}, now);
+        dispatcher.on_attempt_finished(
+            {act.call, SendEndKind::lost, "no answer within the deadline", false, 0, 0, 0, false}, now);
       }
     dispatcher.on_timer(now);
   }
@@ -224,23 +225,23 @@
   settings.queue_bound = 3;
   CallDispatcher dispatcher(settings);
   dispatcher.set_grant(always);
-  dispatcher.see(view_with(1, ""), Moment{0});
+  dispatcher.see(view_with(1, ""), TimePoint{0});
   int at_once = 0;
   for (CallIndex i = 1; i <= 10; ++i)
-    if (auto refusal = dispatcher.arrive(call("c" + std::to_string(i)), Moment{0}, i)) {
+    if (auto refusal = dispatcher.admit(call("c" + std::to_string(i)), TimePoint{0}, i)) {
       ++at_once;
       EXPECT_GT(refusal->retry_after.value, 0);
     }
   EXPECT_EQ(at_once, 3);  // four run, three pend
   EXPECT_EQ(dispatcher.take_sends().size(), 4u);
-  dispatcher.on_timer(Moment{700});
+  dispatcher.on_timer(TimePoint{700});
   std::set<CallIndex> finals;
   for (auto& act : dispatcher.take_finals()) {
     EXPECT_FALSE(act.may_have_run);
     finals.insert(act.call);
   }
   EXPECT_EQ(finals.size(), 3u);
-  dispatcher.end_send({1, SendEndKind::answered, "", false, 0, 0, 0, false}, Moment{710});
+  dispatcher.on_attempt_finished({1, SendEndKind::answered, "", false, 0, 0, 0, false}, TimePoint{710});
   EXPECT_TRUE(dispatcher.take_sends().empty());
 }
 
@@ -248,10 +249,10 @@
   for (bool is_repeatable : {false, true}) {
     CallDispatcher dispatcher(here());
     dispatcher.set_grant(always);
-    dispatcher.see(view_with(6, is_repeatable ? R"(,"repeatable":true)" : ""), Moment{0});
-    dispatcher.arrive(call("c"), Moment{0}, 1);
+    dispatcher.see(view_with(6, is_repeatable ? R"(,"repeatable":true)" : ""), TimePoint{0});
+    dispatcher.admit(call("c"), TimePoint{0}, 1);
     ASSERT_EQ(dispatcher.take_sends().size(), 1u);
-    dispatcher.end_send({1, SendEndKind::lost, "link broke", false, 0, 0, 0, false}, Moment{5});
+    dispatcher.on_attempt_finished({1, SendEndKind::lost, "link broke", false, 0, 0, 0, false}, TimePoint{5});
     EXPECT_EQ(dispatcher.take_sends().size(), is_repeatable ? 1u : 0u);
     auto finals = dispatcher.take_finals();
     if (!is_repeatable) {
@@ -266,9 +267,9 @@
   dispatcher.set_grant(always);
   auto cold = view_with(1, "");
   cold->runners.begin()->second.status = "cold";
-  cold->runners.begin()->second.grants = {{Address{"d1"}, 1}};
-  dispatcher.see(cold, Moment{0});
-  EXPECT_FALSE(dispatcher.arrive(call("a"), Moment{0}, 1));
+  cold->runners.begin()->second.warmup_grants = {{Address{"d1"}, 1}};
+  dispatcher.see(cold, TimePoint{0});
+  EXPECT_FALSE(dispatcher.admit(call("a"), TimePoint{0}, 1));
   ASSERT_EQ(dispatcher.take_sends().size(), 1u);
   SendEnd end;
   end.call = 1;
@@ -276,9 +277,9 @@
   end.has_report = true;
   end.incarnation = 1;
   end.capacity = 4;
-  end.is_cold = true;
-  dispatcher.end_send(end, Moment{10});
-  dispatcher.see(view_with(1, "", {1, 2}), Moment{20});  // warm now: no shares are given any more
-  EXPECT_FALSE(dispatcher.arrive(call("b"), Moment{30}, 2));
+  end.is_warming_up = true;
+  dispatcher.on_attempt_finished(end, TimePoint{10});
+  dispatcher.see(view_with(1, "", {1, 2}), TimePoint{20});  // warm now: no shares are given any more
+  EXPECT_FALSE(dispatcher.admit(call("b"), TimePoint{30}, 2));
   EXPECT_EQ(dispatcher.take_sends().size(), 1u);
 }
--- a/packages/call-routing/include/emberdale/route_dispatcher.hpp
+++ b/packages/call-routing/include/emberdale/route_dispatcher.hpp
@@ -12,22 +12,22 @@
 #include <vector>
 
 #include "emberdale/call_dispatcher.hpp"
-#include "emberdale/traffic_view.hpp"
+#include "emberdale/routing_view.hpp"
 
 namespace emberdale {
 
 // One part of a prompt: which, and how many tokens it has.
 struct PromptPart {
   std::uint64_t id = 0;
-  Integer tokens = 0;
+  std::int64_t tokens = 0;
 };
 
 struct RoutedCall {
   CallId id;
   std::string host, path;  // the path without its query
-  Span deadline{0};        // the caller's; 0: as the route says
+  Duration deadline{0};    // the caller's; 0: as the route says
   std::vector<PromptPart> prompt;
-  Integer tokens_in = 0, tokens_out = 0;
+  std::int64_t tokens_in = 0, tokens_out = 0;
   std::string resume_after;  // the caller continues a stream after this event; empty: from the start
 };
 
@@ -38,8 +38,8 @@
   RunnerName runner;
   std::string http;
   bool is_repeatable = false, is_streaming = false;
-  Integer rank = 5;
-  Moment deadline;
+  std::int64_t rank = 5;
+  TimePoint deadline;
   std::string resume_after;  // continue after this event; empty: from the start
 };
 
@@ -50,13 +50,13 @@
 };
 
 enum class RoutedEndKind {
-  answered,     // a whole sound answer went to the caller
-  refused,      // the runner says that it did not run it (full, draining, ..)
-  wrong_life,   // another runner has that address now: it did not run it
-  unsent,       // the link never came up, or was closed before anything was written: nothing left this daemon
-  lost,         // sent, and no sound answer came; may have run
-  broken,       // a stream broke after events went to the caller
-  caller_gone,  // the caller left; the send was given up
+  answered,           // a whole sound answer went to the caller
+  refused,            // the runner says that it did not run it (full, draining, ..)
+  wrong_incarnation,  // another runner has that address now: it did not run it
+  unsent,             // the link never came up, or was closed before anything was written: nothing left this daemon
+  lost,               // sent, and no sound answer came; may have run
+  broken,             // a stream broke after events went to the caller
+  caller_gone,        // the caller left; the send was given up
 };
 
 struct RoutedEnd {
@@ -66,10 +66,10 @@
   std::string reason;
   std::string last_event;   // broken: the id of the last event that went to the caller
   bool has_report = false;  // the runner told its load along
-  Integer running = 0, waiting = 0, slots = 0;
-  bool may_have_run = false;         // refused or unsent: yet it was written before, over a link that then closed
-  bool was_link_refused = false;     // a definite word: no one listens there
-  bool was_slow_to_connect = false;  // the link did not come up in time: silent machine
+  std::int64_t running = 0, waiting = 0, slots = 0;
+  bool may_have_run = false;            // refused or unsent: yet it was written before, over a link that then closed
+  bool was_connection_refused = false;  // a definite word: no one listens there
+  bool was_slow_to_connect = false;     // the link did not come up in time: silent machine
 };
 
 struct RouteDispatcherSettings {
@@ -79,11 +79,11 @@
   std::size_t queue_bound = 256;  // calls that wait for a free runner, all together
   double resend_share = 0.08;     // resends earned by each first send
   double resend_start = 1, resend_bound = 3;
-  Integer region_ms = 60;  // what a call to another region costs more than one nearby, in waiting
+  std::int64_t region_ms = 60;  // what a call to another region costs more than one nearby, in waiting
 };
 
 // Example:
-//   RouteDispatcher dispatcher(settings); dispatcher.see(view, now); dispatcher.set_cold_until(until);
+//   RouteDispatcher dispatcher(settings); dispatcher.see(view, now); dispatcher.set_warming_up_until(until);
 //   auto refusal = dispatcher.arrive(call, now, index);        // refused at once, or taken in
 //   for (auto& act : dispatcher.take_sends()) send(act);  for (auto& act : dispatcher.take_stops()) stop(act);
 //   dispatcher.first_piece(index, turn, now); dispatcher.end_send(end, now); dispatcher.on_timer(now);
@@ -93,19 +93,19 @@
  public:
   explicit RouteDispatcher(RouteDispatcherSettings settings);
 
-  void see(std::shared_ptr<const TrafficView> view, Moment now);
-  // Shares of cold runners may be used until then. Example: dispatcher.set_cold_until(grant.cold_until)
-  void set_cold_until(Moment until) { cold_until_ = until; }
+  void see(std::shared_ptr<const RoutingView> view, TimePoint now);
+  // Shares of cold runners may be used until then. Example: dispatcher.set_warming_up_until(grant.warming_up_until)
+  void set_warming_up_until(TimePoint until) { warming_up_until_ = until; }
 
-  std::optional<FinalAct> arrive(const RoutedCall& call, Moment now, CallIndex index);
+  std::optional<FinalAct> admit(const RoutedCall& call, TimePoint now, CallIndex index);
   // The head of an answer has come, the first event has gone to the caller, a later event has come.
-  void answer_begun(CallIndex index, int turn, Moment now);
-  void first_piece(CallIndex index, int turn, Moment now);
-  void end_send(const RoutedEnd& end, Moment now);
+  void answer_begun(CallIndex index, int turn, TimePoint now);
+  void first_piece(CallIndex index, int turn, TimePoint now);
+  void on_attempt_finished(const RoutedEnd& end, TimePoint now);
   // The caller left: what is pending is forgotten, what is sent is stopped.
-  void caller_gone(CallIndex index, Moment now);
-  void on_timer(Moment now);
-  Moment timer_next(Moment now) const;
+  void caller_gone(CallIndex index, TimePoint now);
+  void on_timer(TimePoint now);
+  TimePoint timer_next(TimePoint now) const;
 
   std::vector<RoutedSend> take_sends() { return std::exchange(sends_, {}); }
   std::vector<StopSend> take_stops() { return std::exchange(stops_, {}); }
@@ -115,7 +115,7 @@
 
   struct Counts {
     std::int64_t arrived = 0, sends = 0, resends = 0, resumed = 0, answered = 0, refused_route = 0, refused_full = 0,
-                 refused_no_view = 0, unknown = 0, pended = 0, cold_sends = 0, resend_denied = 0, stopped = 0,
+                 refused_no_view = 0, unknown = 0, pended = 0, warmup_sends = 0, resend_denied = 0, stopped = 0,
                  far_sends = 0, kept_tokens = 0, read_tokens = 0;
   };
   const Counts& counts() const { return counts_; }
@@ -124,15 +124,15 @@
   struct Call {
     CallIndex index = 0;
     CallId id;
-    const TrafficRoute* route = nullptr;  // in view_held
-    std::shared_ptr<const TrafficView> view_held;
+    const Route* route = nullptr;  // in view_held
+    std::shared_ptr<const RoutingView> view_held;
     PoolName pool;
     std::vector<PromptPart> prompt;
     std::uint64_t key = 0;  // of the opening
-    Integer tokens_in = 0, tokens_out = 0;
+    std::int64_t tokens_in = 0, tokens_out = 0;
     std::string resume_after;
-    Moment arrived, deadline, queued_until, sent_at, heard_at;
-    Integer unread = 0;  // of its prompt, at the runner it was sent to
+    TimePoint arrived, deadline, queued_until, sent_at, heard_at;
+    std::int64_t unread = 0;  // of its prompt, at the runner it was sent to
     int turn = 0, unsent = 0;
     RunnerName runner;
     std::set<RunnerName> tried;
@@ -142,49 +142,50 @@
     bool may_have_run = false;
   };
   // What this daemon itself knows of one runner.
-  struct Link {
-    Integer in_flight = 0;
-    Integer prompt_tokens = 0;  // of sends without a first piece yet
-    Integer reported = 0, own_at_report = 0;
-    Moment reported_at{-100000};
-    Moment shunned_until{-100000};         // it refused, reset or kept silent
-    int troubles = 0;                      // in a row
-    Moment heard{-100000};                 // anything came from it
-    std::deque<Moment> sent;               // the sends of the last second, for cold runners
-    std::map<std::uint64_t, Moment> kept;  // parts that it was sent before, and when last
+  struct EndpointState {
+    std::int64_t in_flight = 0;
+    std::int64_t prompt_tokens = 0;  // of sends without a first piece yet
+    std::int64_t reported = 0, own_at_report = 0;
+    TimePoint reported_at{-100000};
+    TimePoint shunned_until{-100000};         // it refused, reset or kept silent
+    int troubles = 0;                         // in a row
+    TimePoint heard{-100000};                 // anything came from it
+    std::deque<TimePoint> sent;               // the sends of the last second, for cold runners
+    std::map<std::uint64_t, TimePoint> kept;  // parts that it was sent before, and when last
   };
-  std::set<RunnerName> runners_for_long(const std::vector<RunnerName>& pool, Moment now);
-  std::optional<FinalAct> take_in(const RoutedCall& call, Moment arrived, Moment now, CallIndex index);
-  void take_unmapped(Moment now);
-  std::optional<RunnerName> match(Call& call, Moment now);
-  bool try_send(Call& call, Moment now);
-  void pend(Call& call, Moment now);
-  void pump(Moment now);
+  std::set<RunnerName> runners_for_long(const std::vector<RunnerName>& pool, TimePoint now);
+  std::optional<FinalAct> take_in(const RoutedCall& call, TimePoint arrived, TimePoint now, CallIndex index);
+  void take_unmapped(TimePoint now);
+  std::optional<RunnerName> pick_endpoint(Call& call, TimePoint now);
+  bool try_send(Call& call, TimePoint now);
+  void pend(Call& call, TimePoint now);
+  void dispatch_queued(TimePoint now);
   void unlink(Call& call);
   void finish(CallIndex index, FinalAct act);
-  bool may_resend(Call& call, Moment now);
-  void resend_or_end(Call& call, bool surely_not_run, const std::string& reason, Moment now);
-  static Span unread_patience(const Call& call);
-  FinalAct refusal(CallIndex index, const std::string& reason, Span retry_after) const;
+  bool may_resend(Call& call, TimePoint now);
+  void resend_or_end(Call& call, bool surely_not_run, const std::string& reason, TimePoint now);
+  static Duration unread_patience(const Call& call);
+  FinalAct refusal(CallIndex index, const std::string& reason, Duration retry_after) const;
   bool has_living(const Call& call) const;
-  Integer cold_share(const RunnerRow& row) const;
-  Integer unread_tokens(const Call& call, const Link& link, Moment now) const;
+  std::int64_t warmup_share(const RunnerRow& row) const;
+  std::int64_t unread_tokens(const Call& call, const EndpointState& endpoint, TimePoint now) const;
 
   // A call that came before the first map.
   struct Unmapped {
     RoutedCall call;
     CallIndex index = 0;
-    Moment arrived;
+    TimePoint arrived;
   };
   RouteDispatcherSettings settings_;
-  std::optional<Moment> began_;  // the first call or view; no cold runner is used for a second: the last life may have
+  std::optional<TimePoint>
+      began_;  // the first call or view; no cold runner is used for a second: the last life may have
   std::deque<Unmapped> unmapped_;
-  std::shared_ptr<const TrafficView> view_ = std::make_shared<TrafficView>();
-  Moment cold_until_{-1};
+  std::shared_ptr<const RoutingView> view_ = std::make_shared<RoutingView>();
+  TimePoint warming_up_until_{-1};
   absl::flat_hash_map<CallIndex, Call> calls_;
-  std::map<RunnerName, Link> links_;
-  std::map<std::pair<PoolName, RegionName>, Moment> short_seen_;  // where short calls went lately
-  std::map<std::pair<Integer, CallIndex>, CallIndex> queue_;      // by rank, then arrival
+  std::map<RunnerName, EndpointState> endpoints_;
+  std::map<std::pair<PoolName, RegionName>, TimePoint> short_seen_;  // where short calls went lately
+  std::map<std::pair<std::int64_t, CallIndex>, CallIndex> queue_;    // by rank, then arrival
   std::map<PoolName, double> resend_tokens_;
   std::vector<RoutedSend> sends_;
   std::vector<StopSend> stops_;
--- a/packages/call-routing/src/route_dispatcher.cpp
+++ b/packages/call-routing/src/route_dispatcher.cpp
@@ -8,78 +8,79 @@
 namespace emberdale {
 namespace {
 
-constexpr Span second{1000};
-constexpr Span young{400}, map_patience{150};  // a daemon that has just started; how long a call waits for its map
-constexpr Integer long_prompt = 2000;          // calls with more tokens hold the others up at a runner
+constexpr Duration second{1000};
+constexpr Duration young{400}, map_patience{150};  // a daemon that has just started; how long a call waits for its map
+constexpr std::int64_t long_prompt = 2000;         // calls with more tokens hold the others up at a runner
 constexpr double apart_cost = 40, mixed_cost = 250;  // a short call among long ones, a long one among short ones; ms
-constexpr Span short_memory{10000};
-constexpr double read_weight = 5;    // what is read again is paid for as well
-constexpr Integer tokens_a_ms = 60;  // read of a prompt, until something better is known
-constexpr Span report_life{700};     // a runner's word on its load counts that long
-constexpr Span kept_life{60000};     // parts that a runner was sent are taken for kept that long
-constexpr Span silent_shun{1500}, refused_shun{700}, reset_shun{250}, wrong_life_shun{4000}, full_shun{60};
+constexpr Duration short_memory{10000};
+constexpr double read_weight = 5;         // what is read again is paid for as well
+constexpr std::int64_t tokens_a_ms = 60;  // read of a prompt, until something better is known
+constexpr Duration report_lifetime{700};  // a runner's word on its load counts that long
+constexpr Duration retention{60000};      // parts that a runner was sent are taken for kept that long
+constexpr Duration silent_ejection_time{1500}, refused_ejection_time{700}, reset_ejection_time{250},
+    wrong_incarnation_ejection{4000}, full_ejection_time{60};
 
 std::uint64_t mix(std::uint64_t a, std::uint64_t b) { return RandomGenerator(a * 0x9E3779B97F4A7C15ull ^ b).next(); }
 
-Span silence_of(const TrafficRoute& route) { return Span{std::max<std::int64_t>(250, route.target_ms / 2)}; }
-Span gap_silence_of(const TrafficRoute& route) {
-  return Span{std::max<std::int64_t>(250, (route.gap_ms > 0 ? route.gap_ms : 1000) * 3 / 4)};
+Duration silence_of(const Route& route) { return Duration{std::max<std::int64_t>(250, route.target_ms / 2)}; }
+Duration gap_silence_of(const Route& route) {
+  return Duration{std::max<std::int64_t>(250, (route.gap_ms > 0 ? route.gap_ms : 1000) * 3 / 4)};
 }
 // Held for less than a quarter of its target: the caller, told at once, still has time for another try.
-Span patience_of(const TrafficRoute& route) { return Span{route.target_ms * 22 / 100}; }
+Duration patience_of(const Route& route) { return Duration{route.target_ms * 22 / 100}; }
 
 }  // namespace
 
 RouteDispatcher::RouteDispatcher(RouteDispatcherSettings settings) : settings_(std::move(settings)) {}
 
-void RouteDispatcher::see(std::shared_ptr<const TrafficView> view, Moment now) {
+void RouteDispatcher::see(std::shared_ptr<const RoutingView> view, TimePoint now) {
   view_ = std::move(view);
   if (!began_)
     began_ = now;
-  for (auto entry = links_.begin(); entry != links_.end();) {
-    const Link& link = entry->second;
-    bool is_fresh = !link.sent.empty() && now - link.sent.back() < second;  // it may be back at once, and cold
-    if (view_->runners.count(entry->first) == 0 && link.in_flight == 0 && !is_fresh)
-      entry = links_.erase(entry);
+  for (auto entry = endpoints_.begin(); entry != endpoints_.end();) {
+    const EndpointState& endpoint = entry->second;
+    bool is_fresh = !endpoint.sent.empty() && now - endpoint.sent.back() < second;  // it may be back at once, and cold
+    if (view_->runners.count(entry->first) == 0 && endpoint.in_flight == 0 && !is_fresh)
+      entry = endpoints_.erase(entry);
     else
       ++entry;
   }
   take_unmapped(now);
-  pump(now);
+  dispatch_queued(now);
 }
 
-FinalAct RouteDispatcher::refusal(CallIndex index, const std::string& reason, Span retry_after) const {
+FinalAct RouteDispatcher::refusal(CallIndex index, const std::string& reason, Duration retry_after) const {
   return FinalAct{index, 503, reason, false, retry_after, {}};
 }
 
-std::optional<FinalAct> RouteDispatcher::arrive(const RoutedCall& arriving, Moment now, CallIndex index) {
+std::optional<FinalAct> RouteDispatcher::admit(const RoutedCall& arriving, TimePoint now, CallIndex index) {
   ++counts_.arrived;
   if (!began_)
     began_ = now;
-  if (view_->has_traffic)
+  if (view_->has_routing_table)
     return take_in(arriving, now, now, index);
   // Who has just started knows its map within a moment, and the call waits for it; else it is told at once when to
   // come back.
   bool is_young = now - *began_ < young;
   if (!is_young || unmapped_.size() >= settings_.queue_bound) {
     ++counts_.refused_no_view;
-    return refusal(index, "this daemon knows no map yet", Span{1200});
+    return refusal(index, "this daemon knows no map yet", Duration{1200});
   }
   unmapped_.push_back({arriving, index, now});
   return std::nullopt;
 }
 
 // Those that wait for the map are let in with it, or told to come back.
-void RouteDispatcher::take_unmapped(Moment now) {
-  while (!unmapped_.empty() && (view_->has_traffic || now - unmapped_.front().arrived >= map_patience)) {
+void RouteDispatcher::take_unmapped(TimePoint now) {
+  while (!unmapped_.empty() && (view_->has_routing_table || now - unmapped_.front().arrived >= map_patience)) {
     Unmapped waiting = std::move(unmapped_.front());
     unmapped_.pop_front();
     std::optional<FinalAct> act;
-    if (view_->has_traffic) {
+    if (view_->has_routing_table) {
       act = take_in(waiting.call, waiting.arrived, now, waiting.index);
     } else {
       ++counts_.refused_no_view;
-      act = refusal(waiting.index, "this daemon knows no map yet", Span{450});
+      act = refusal(waiting.index, "this daemon knows no map yet", Duration{450});
     }
     if (act) {
       act->call = waiting.index;
@@ -88,12 +89,12 @@
   }
 }
 
-std::optional<FinalAct> RouteDispatcher::take_in(const RoutedCall& arriving, Moment arrived, Moment now,
+std::optional<FinalAct> RouteDispatcher::take_in(const RoutedCall& arriving, TimePoint arrived, TimePoint now,
                                                  CallIndex index) {
-  const TrafficRoute* route = find_route(view_->routes, arriving.host, arriving.path);
+  const Route* route = find_route(view_->routes, arriving.host, arriving.path);
   if (route == nullptr) {
     ++counts_.refused_route;
-    return FinalAct{index, 404, "no route takes this host and path", false, Span{0}, {}};
+    return FinalAct{index, 404, "no route takes this host and path", false, Duration{0}, {}};
   }
   Call call;
   call.index = index;
@@ -112,43 +113,43 @@
     for (const auto& part : call.prompt)
       call.tokens_in += part.tokens;
   call.arrived = arrived;
-  Span deadline{route->deadline_ms};
+  Duration deadline{route->deadline_ms};
   if (arriving.deadline.value > 0)
     deadline = std::min(deadline, arriving.deadline);
   call.deadline = arrived + deadline;
-  call.queued_until = arrived + std::min(patience_of(*route), Span{deadline.value / 3});
+  call.queued_until = arrived + std::min(patience_of(*route), Duration{deadline.value / 3});
   auto entry = calls_.insert_or_assign(index, std::move(call)).first;
   if (try_send(entry->second, now))
     return std::nullopt;
   if (queue_.size() >= settings_.queue_bound) {
     calls_.erase(entry);
     ++counts_.refused_full;
-    return refusal(index, "too many calls wait here", Span{250});
+    return refusal(index, "too many calls wait here", Duration{250});
   }
   pend(entry->second, now);
   return std::nullopt;
 }
 
-void RouteDispatcher::pend(Call& call, Moment) {
+void RouteDispatcher::pend(Call& call, TimePoint) {
   ++counts_.pended;
   call.is_queued = true;
   queue_[{call.route->rank, call.index}] = call.index;
 }
 
-Integer RouteDispatcher::cold_share(const RunnerRow& row) const {
-  for (const auto& grant : row.grants)
+std::int64_t RouteDispatcher::warmup_share(const RunnerRow& row) const {
+  for (const auto& grant : row.warmup_grants)
     if (grant.daemon == settings_.self)
-      return grant.calls;
+      return grant.requests;
   return 0;
 }
 
 // How much of the prompt the runner would have to read: all after the first part that it was not sent before.
-Integer RouteDispatcher::unread_tokens(const Call& call, const Link& link, Moment now) const {
-  Integer unread = 0;
+std::int64_t RouteDispatcher::unread_tokens(const Call& call, const EndpointState& endpoint, TimePoint now) const {
+  std::int64_t unread = 0;
   bool is_kept = true;
   for (const auto& part : call.prompt) {
-    auto kept = link.kept.find(part.id);
-    is_kept = is_kept && kept != link.kept.end() && now - kept->second < kept_life;
+    auto kept = endpoint.kept.find(part.id);
+    is_kept = is_kept && kept != endpoint.kept.end() && now - kept->second < retention;
     if (!is_kept)
       unread += part.tokens;
   }
@@ -158,7 +159,7 @@
 // A long prompt is read in large pieces, and every stream at that runner waits meanwhile. So long ones go to regions
 // without short calls, if there are any; else part of each region's runners is kept for them. Every daemon finds the
 // same ones, by a ranking of the living.
-std::set<RunnerName> RouteDispatcher::runners_for_long(const std::vector<RunnerName>& pool, Moment now) {
+std::set<RunnerName> RouteDispatcher::runners_for_long(const std::vector<RunnerName>& pool, TimePoint now) {
   std::map<RegionName, std::vector<std::pair<std::uint64_t, RunnerName>>> ranked;
   std::set<RunnerName> quiet;
   std::size_t warm = 0;
@@ -188,11 +189,11 @@
   return apart;
 }
 
-std::optional<RunnerName> RouteDispatcher::match(Call& call, Moment now) {
+std::optional<RunnerName> RouteDispatcher::pick_endpoint(Call& call, TimePoint now) {
   auto pool = view_->pools.find(call.pool);
   if (pool == view_->pools.end())
     return std::nullopt;
-  const Link blank;
+  const EndpointState blank;
   struct Choice {
     const RunnerRow* row = nullptr;
     double cost = 0;
@@ -219,7 +220,7 @@
   // Who keeps the shared parts of this prompt, by a ranking that is the same at every daemon: of all regions for long
   // ones (to bring one there costs less than to read its opening twice), of the nearest for short ones.
   const RunnerRow *keeper = nullptr, *stand_in = nullptr;
-  std::uint64_t keeper_weight = 0, stand_in_weight = 0;
+  std::uint64_t lease_manager_weight = 0, stand_in_weight = 0;
   if (call.key != 0)
     for (const auto& name : pool->second) {
       const RunnerRow& row = view_->runners.at(name);
@@ -229,13 +230,13 @@
         continue;
       if (!for_long.empty() && is_long != (for_long.count(name) != 0))
         continue;
-      auto link = links_.find(name);
-      if (link != links_.end() && now < link->second.shunned_until)
+      auto endpoint = endpoints_.find(name);
+      if (endpoint != endpoints_.end() && now < endpoint->second.shunned_until)
         continue;
       std::uint64_t weight = mix(stable_hash(name.text), call.key);
-      if (keeper == nullptr || weight > keeper_weight) {
+      if (keeper == nullptr || weight > lease_manager_weight) {
         stand_in = std::exchange(keeper, &row);
-        stand_in_weight = std::exchange(keeper_weight, weight);
+        stand_in_weight = std::exchange(lease_manager_weight, weight);
       } else if (stand_in == nullptr || weight > stand_in_weight) {
         stand_in = &row;
         stand_in_weight = weight;
@@ -243,30 +244,31 @@
     }
   for (const auto& name : pool->second) {
     const RunnerRow& row = view_->runners.at(name);
-    bool is_cold = row.status == "cold";
-    if (row.status != "warm" && !is_cold)
+    bool is_warming_up = row.status == "cold";
+    if (row.status != "warm" && !is_warming_up)
       continue;
     if (!may_go(row))
       continue;
     if (call.tried.count(name) != 0)
       continue;
-    auto entry = links_.find(name);
-    const Link& link = entry == links_.end() ? blank : entry->second;
-    if (now < link.shunned_until)
+    auto entry = endpoints_.find(name);
+    const EndpointState& endpoint = entry == endpoints_.end() ? blank : entry->second;
+    if (now < endpoint.shunned_until)
       continue;
-    if (link.troubles > 0 && link.in_flight > 0)
+    if (endpoint.troubles > 0 && endpoint.in_flight > 0)
       continue;  // one at a time, until it has answered
-    if (is_cold) {
-      if (!(now < cold_until_) || !began_ || now - *began_ < second)
+    if (is_warming_up) {
+      if (!(now < warming_up_until_) || !began_ || now - *began_ < second)
         continue;
-      auto recent = std::count_if(link.sent.begin(), link.sent.end(), [&](Moment at) { return now - at < second; });
-      if (recent >= cold_share(row))
+      auto recent =
+          std::count_if(endpoint.sent.begin(), endpoint.sent.end(), [&](TimePoint at) { return now - at < second; });
+      if (recent >= warmup_share(row))
         continue;
     }
-    Integer slots = row.capacity > 0 ? row.capacity : 8;
-    Integer load = link.in_flight;
-    if (now - link.reported_at < report_life)
-      load = std::max(load, link.reported + link.in_flight - link.own_at_report);
+    std::int64_t slots = row.capacity > 0 ? row.capacity : 8;
+    std::int64_t load = endpoint.in_flight;
+    if (now - endpoint.reported_at < report_lifetime)
+      load = std::max(load, endpoint.reported + endpoint.in_flight - endpoint.own_at_report);
     if (load >= slots + slots / 2 + 2)
       continue;  // full, with a queue
     double cost = 0;
@@ -282,16 +284,16 @@
                                : 60.0 * static_cast<double>(load) / static_cast<double>(slots);
     if (!for_long.empty() && is_long != (for_long.count(name) != 0))
       cost += is_long ? mixed_cost : apart_cost;
-    cost += static_cast<double>(link.prompt_tokens) / tokens_a_ms;
-    if (is_cold)
+    cost += static_cast<double>(endpoint.prompt_tokens) / tokens_a_ms;
+    if (is_warming_up)
       cost += 40;
     if (!call.prompt.empty()) {
       // The keeper alone is believed to have the shared parts: elsewhere they may have given way since.
-      Integer shared = call.tokens_in - call.prompt.back().tokens;
-      Integer unread = call.key == 0      ? call.tokens_in
-                       : keeper == &row   ? call.tokens_in - shared
-                       : stand_in == &row ? call.tokens_in - shared / 5
-                                          : call.tokens_in;
+      std::int64_t shared = call.tokens_in - call.prompt.back().tokens;
+      std::int64_t unread = call.key == 0      ? call.tokens_in
+                            : keeper == &row   ? call.tokens_in - shared
+                            : stand_in == &row ? call.tokens_in - shared / 5
+                                               : call.tokens_in;
       cost += read_weight * static_cast<double>(unread) / tokens_a_ms;
     }
     cost += static_cast<double>(mix(call_seed, stable_hash(name.text)) % 1000) / 250.0;
@@ -303,31 +305,31 @@
   return best->row->name;
 }
 
-bool RouteDispatcher::try_send(Call& call, Moment now) {
-  auto runner = match(call, now);
+bool RouteDispatcher::try_send(Call& call, TimePoint now) {
+  auto runner = pick_endpoint(call, now);
   if (!runner && !call.tried.empty() && call.turn == call.unsent) {
     call.tried.clear();
-    runner = match(call, now);
+    runner = pick_endpoint(call, now);
   }
   if (!runner)
     return false;
   const RunnerRow& row = view_->runners.at(*runner);
-  Link& link = links_[*runner];
-  while (!link.sent.empty() && now - link.sent.front() >= Span{1200})
-    link.sent.pop_front();
-  link.sent.push_back(now);
-  ++link.in_flight;
-  Integer unread = unread_tokens(call, link, now);
-  link.prompt_tokens += unread;
+  EndpointState& endpoint = endpoints_[*runner];
+  while (!endpoint.sent.empty() && now - endpoint.sent.front() >= Duration{1200})
+    endpoint.sent.pop_front();
+  endpoint.sent.push_back(now);
+  ++endpoint.in_flight;
+  std::int64_t unread = unread_tokens(call, endpoint, now);
+  endpoint.prompt_tokens += unread;
   counts_.read_tokens += unread;
   counts_.kept_tokens += call.tokens_in - std::min(call.tokens_in, unread);
   for (const auto& part : call.prompt)
-    link.kept[part.id] = now;
-  if (link.kept.size() > 4096)
-    for (auto part = link.kept.begin(); part != link.kept.end();)
-      part = now - part->second > Span{kept_life.value / 4} ? link.kept.erase(part) : std::next(part);
+    endpoint.kept[part.id] = now;
+  if (endpoint.kept.size() > 4096)
+    for (auto part = endpoint.kept.begin(); part != endpoint.kept.end();)
+      part = now - part->second > Duration{retention.value / 4} ? endpoint.kept.erase(part) : std::next(part);
   if (row.status == "cold")
-    ++counts_.cold_sends;
+    ++counts_.warmup_sends;
   if (row.region != settings_.region)
     ++counts_.far_sends;
   call.unread = unread;
@@ -342,8 +344,8 @@
     double& tokens = resend_tokens_.try_emplace(call.pool, settings_.resend_start).first->second;
     tokens = std::min(settings_.resend_bound, tokens + settings_.resend_share);
   }
-  sends_.push_back({call.index, call.turn, row.name, row.http, call.route->is_repeatable, call.route->is_streaming,
-                    call.route->rank, call.deadline, call.resume_after});
+  sends_.push_back({call.index, call.turn, row.name, row.http_address, call.route->is_repeatable,
+                    call.route->is_streaming, call.route->rank, call.deadline, call.resume_after});
   return true;
 }
 
@@ -351,11 +353,11 @@
   if (!call.is_sent)
     return;
   call.is_sent = false;
-  Link& link = links_[call.runner];
-  if (link.in_flight > 0)
-    --link.in_flight;
+  EndpointState& endpoint = endpoints_[call.runner];
+  if (endpoint.in_flight > 0)
+    --endpoint.in_flight;
   if (!call.has_piece_here)
-    link.prompt_tokens = std::max<Integer>(0, link.prompt_tokens - call.unread);
+    endpoint.prompt_tokens = std::max<std::int64_t>(0, endpoint.prompt_tokens - call.unread);
   call.has_piece_here = false;
 }
 
@@ -372,19 +374,19 @@
   });
 }
 
-void RouteDispatcher::answer_begun(CallIndex index, int turn, Moment now) {
+void RouteDispatcher::answer_begun(CallIndex index, int turn, TimePoint now) {
   auto entry = calls_.find(index);
   if (entry == calls_.end() || entry->second.turn != turn || !entry->second.is_sent)
     return;
   Call& call = entry->second;
   call.has_answer = true;
   call.heard_at = now;
-  Link& link = links_[call.runner];
-  link.heard = now;
-  link.troubles = 0;
+  EndpointState& endpoint = endpoints_[call.runner];
+  endpoint.heard = now;
+  endpoint.troubles = 0;
 }
 
-void RouteDispatcher::first_piece(CallIndex index, int turn, Moment now) {
+void RouteDispatcher::first_piece(CallIndex index, int turn, TimePoint now) {
   answer_begun(index, turn, now);
   auto entry = calls_.find(index);
   if (entry == calls_.end() || entry->second.turn != turn || !entry->second.is_sent)
@@ -394,8 +396,8 @@
   if (call.has_piece_here)
     return;
   call.has_piece_here = true;
-  Link& link = links_[call.runner];
-  link.prompt_tokens = std::max<Integer>(0, link.prompt_tokens - call.unread);
+  EndpointState& endpoint = endpoints_[call.runner];
+  endpoint.prompt_tokens = std::max<std::int64_t>(0, endpoint.prompt_tokens - call.unread);
 }
 
 void RouteDispatcher::finish(CallIndex index, FinalAct act) {
@@ -407,8 +409,8 @@
 }
 
 // May this call be sent once more, and is it paid for?
-bool RouteDispatcher::may_resend(Call& call, Moment now) {
-  if (call.turn - call.unsent >= std::max<Integer>(1, call.route->max_sends) || now >= call.deadline)
+bool RouteDispatcher::may_resend(Call& call, TimePoint now) {
+  if (call.turn - call.unsent >= std::max<std::int64_t>(1, call.route->max_sends) || now >= call.deadline)
     return false;
   double& tokens = resend_tokens_.try_emplace(call.pool, settings_.resend_start).first->second;
   if (tokens < 1) {
@@ -418,7 +420,7 @@
   return true;
 }
 
-void RouteDispatcher::resend_or_end(Call& call, bool surely_not_run, const std::string& reason, Moment now) {
+void RouteDispatcher::resend_or_end(Call& call, bool surely_not_run, const std::string& reason, TimePoint now) {
   CallIndex index = call.index;
   bool may_repeat = call.route->is_repeatable || (surely_not_run && !call.has_piece);
   if (may_repeat && may_resend(call, now)) {
@@ -436,31 +438,32 @@
   }
   if (surely_not_run && !call.has_piece && !call.may_have_run) {
     ++counts_.refused_full;
-    finish(index, refusal(index, "no runner could take it: " + reason, has_living(call) ? Span{250} : Span{1000}));
+    finish(index,
+           refusal(index, "no runner could take it: " + reason, has_living(call) ? Duration{250} : Duration{1000}));
     return;
   }
   ++counts_.unknown;
-  finish(index, FinalAct{index, 502, "the runner gave no sound answer: " + reason, true, Span{0}, {}});
+  finish(index, FinalAct{index, 502, "the runner gave no sound answer: " + reason, true, Duration{0}, {}});
 }
 
-void RouteDispatcher::end_send(const RoutedEnd& end, Moment now) {
+void RouteDispatcher::on_attempt_finished(const RoutedEnd& end, TimePoint now) {
   auto entry = calls_.find(end.call);
   if (entry == calls_.end() || entry->second.turn != end.turn || !entry->second.is_sent)
     return;
   Call& call = entry->second;
   unlink(call);
-  Link& link = links_[call.runner];
+  EndpointState& endpoint = endpoints_[call.runner];
   if (end.has_report) {
-    link.reported = end.running + end.waiting;
-    link.own_at_report = link.in_flight;
-    link.reported_at = now;
+    endpoint.reported = end.running + end.waiting;
+    endpoint.own_at_report = endpoint.in_flight;
+    endpoint.reported_at = now;
   }
-  auto shun = [&](Span span) {
-    link.shunned_until = std::max(link.shunned_until, now + span);
+  auto eject = [&](Duration span) {
+    endpoint.shunned_until = std::max(endpoint.shunned_until, now + span);
   };
-  auto trouble = [&](Span span) {
-    ++link.troubles;
-    shun(Span{span.value * std::min(link.troubles, 4)});
+  auto trouble = [&](Duration span) {
+    ++endpoint.troubles;
+    eject(Duration{span.value * std::min(endpoint.troubles, 4)});
   };
   if (end.kind != RoutedEndKind::unsent && end.kind != RoutedEndKind::caller_gone)
     call.tried.insert(call.runner);
@@ -468,24 +471,24 @@
   switch (end.kind) {
     case RoutedEndKind::answered:
       ++counts_.answered;
-      link.heard = now;
-      link.troubles = 0;
+      endpoint.heard = now;
+      endpoint.troubles = 0;
       calls_.erase(entry);
       break;
     case RoutedEndKind::caller_gone:
       calls_.erase(entry);
       break;
     case RoutedEndKind::refused:
-      link.heard = now;
-      shun(full_shun);
+      endpoint.heard = now;
+      eject(full_ejection_time);
       resend_or_end(call, true, end.reason, now);
       break;
-    case RoutedEndKind::wrong_life:
-      shun(wrong_life_shun);
+    case RoutedEndKind::wrong_incarnation:
+      eject(wrong_incarnation_ejection);
       resend_or_end(call, true, end.reason, now);
       break;
     case RoutedEndKind::unsent: {
-      trouble(end.was_slow_to_connect ? silent_shun : refused_shun);
+      trouble(end.was_slow_to_connect ? silent_ejection_time : refused_ejection_time);
       ++call.unsent;  // nothing left this daemon: another runner costs no resend
       bool is_sent_again = call.unsent <= 3 && now < call.deadline && try_send(call, now);
       if (!is_sent_again) {
@@ -498,17 +501,17 @@
     }
     case RoutedEndKind::lost:
     case RoutedEndKind::broken:
-      trouble(reset_shun);
+      trouble(reset_ejection_time);
       call.may_have_run = true;
       if (!end.last_event.empty())
         call.resume_after = end.last_event;
       resend_or_end(call, false, end.reason, now);
       break;
   }
-  pump(now);
+  dispatch_queued(now);
 }
 
-void RouteDispatcher::caller_gone(CallIndex index, Moment now) {
+void RouteDispatcher::caller_gone(CallIndex index, TimePoint now) {
   unmapped_.erase(std::remove_if(unmapped_.begin(), unmapped_.end(),
                                  [&](const Unmapped& waiting) { return waiting.index == index; }),
                   unmapped_.end());
@@ -522,10 +525,10 @@
   }
   queue_.erase({call.route->rank, index});
   calls_.erase(entry);
-  pump(now);
+  dispatch_queued(now);
 }
 
-void RouteDispatcher::pump(Moment now) {
+void RouteDispatcher::dispatch_queued(TimePoint now) {
   for (auto entry = queue_.begin(); entry != queue_.end();) {
     CallIndex index = entry->second;
     Call& call = calls_.at(index);
@@ -534,9 +537,9 @@
     if (call.queued_until <= now || call.deadline <= now) {
       ++counts_.refused_full;
       if (call.may_have_run)
-        finish(index, FinalAct{index, 502, "no runner came free to repeat it", true, Span{0}, {}});
+        finish(index, FinalAct{index, 502, "no runner came free to repeat it", true, Duration{0}, {}});
       else
-        finish(index, refusal(index, "no runner came free for it", has_living(call) ? Span{250} : Span{1000}));
+        finish(index, refusal(index, "no runner came free for it", has_living(call) ? Duration{250} : Duration{1000}));
       continue;
     }
     if (is_resend && !may_resend(call, now))
@@ -551,7 +554,7 @@
   }
 }
 
-void RouteDispatcher::on_timer(Moment now) {
+void RouteDispatcher::on_timer(TimePoint now) {
   take_unmapped(now);
   // A runner from which nothing at all has come since a call went there, for longer than that call bears:
   // it is taken for dead. What may be repeated goes elsewhere; the rest waits for it.
@@ -563,10 +566,10 @@
       silent.push_back(index);
       continue;
     }
-    Span patience = call.has_piece_here ? gap_silence_of(*call.route) : silence_of(*call.route);
+    Duration patience = call.has_piece_here ? gap_silence_of(*call.route) : silence_of(*call.route);
     patience.value += unread_patience(call).value;
-    const Link& link = links_[call.runner];
-    if (now - call.heard_at < patience || now - link.heard < patience || call.has_ended_silence)
+    const EndpointState& endpoint = endpoints_[call.runner];
+    if (now - call.heard_at < patience || now - endpoint.heard < patience || call.has_ended_silence)
       continue;
     silent.push_back(index);
   }
@@ -575,17 +578,17 @@
     if (entry == calls_.end() || !entry->second.is_sent)
       continue;
     Call& call = entry->second;
-    Link& link = links_[call.runner];
+    EndpointState& endpoint = endpoints_[call.runner];
     if (call.deadline <= now) {
       stops_.push_back({index, call.turn});
       unlink(call);
       ++counts_.unknown;
-      finish(index, FinalAct{index, 504, "no answer within the deadline", true, Span{0}, {}});
+      finish(index, FinalAct{index, 504, "no answer within the deadline", true, Duration{0}, {}});
       continue;
     }
-    if (now >= link.shunned_until) {
-      ++link.troubles;
-      link.shunned_until = now + silent_shun;
+    if (now >= endpoint.shunned_until) {
+      ++endpoint.troubles;
+      endpoint.shunned_until = now + silent_ejection_time;
     }
     call.has_ended_silence = true;  // once: what can't be repeated goes on waiting
     if (!call.route->is_repeatable || !may_resend(call, now))
@@ -593,7 +596,7 @@
     call.tried.insert(call.runner);
     RunnerName before = call.runner;
     int turn = call.turn;
-    auto other = match(call, now);
+    auto other = pick_endpoint(call, now);
     if (!other)
       continue;  // no one else is there: it may yet answer
     stops_.push_back({index, turn});
@@ -608,20 +611,20 @@
         ++counts_.resumed;
     } else {
       ++counts_.unknown;
-      finish(index, FinalAct{index, 502, "the runner fell silent", true, Span{0}, {}});
+      finish(index, FinalAct{index, 502, "the runner fell silent", true, Duration{0}, {}});
     }
   }
-  pump(now);
+  dispatch_queued(now);
 }
 
-Span RouteDispatcher::unread_patience(const Call& call) {
-  return Span{call.has_piece_here ? 0 : call.unread / tokens_a_ms * 2};
+Duration RouteDispatcher::unread_patience(const Call& call) {
+  return Duration{call.has_piece_here ? 0 : call.unread / tokens_a_ms * 2};
 }
 
-Moment RouteDispatcher::timer_next(Moment now) const {
+TimePoint RouteDispatcher::timer_next(TimePoint now) const {
   if (!queue_.empty() || !unmapped_.empty())
-    return now + Span{15};
-  return now + (calls_.empty() ? Span{500} : Span{60});
+    return now + Duration{15};
+  return now + (calls_.empty() ? Duration{500} : Duration{60});
 }
 
 }  // namespace emberdale
--- a/packages/call-routing/tests/route_dispatcher_test.cpp
+++ b/packages/call-routing/tests/route_dispatcher_test.cpp
@@ -7,7 +7,7 @@
 #include <algorithm>
 #include <functional>
 
-#include "emberdale/cold_shares.hpp"
+#include "emberdale/warmup_shares.hpp"
 
 using namespace emberdale;
 
@@ -15,8 +15,8 @@
 
 const PoolName pool{"p"};
 
-TrafficRoute route_of(const std::string& name, bool is_repeatable) {
-  TrafficRoute route;
+Route route_of(const std::string& name, bool is_repeatable) {
+  Route route;
   route.name = name;
   route.host = "a.example";
   route.path_prefix = "/" + name + "/";
@@ -29,10 +29,10 @@
 }
 
 RunnerRow runner_of(const std::string& name, const std::string& region, const std::string& status = "warm",
-                    Integer capacity = 8) {
+                    std::int64_t capacity = 8) {
   RunnerRow row;
   row.name.text = name;
-  row.http = name + ":80";
+  row.http_address = name + ":80";
   row.pool = pool;
   row.region.text = region;
   row.zone.text = region + "-1";
@@ -41,13 +41,13 @@
   return row;
 }
 
-TrafficView view_of(const std::vector<RunnerRow>& runners, const std::vector<TrafficRoute>& routes) {
-  TrafficView view;
-  view.has_traffic = true;
+RoutingView view_of(const std::vector<RunnerRow>& runners, const std::vector<Route>& routes) {
+  RoutingView view;
+  view.has_routing_table = true;
   view.routes = routes;
-  TrafficPool known;
+  RoutePool known;
   known.name = pool;
-  view.traffic_pools[pool] = known;
+  view.route_pools[pool] = known;
   for (const auto& row : runners) {
     view.runners[row.name] = row;
     view.pools[row.pool].push_back(row.name);
@@ -67,7 +67,7 @@
   return settings;
 }
 
-std::vector<TrafficRoute> usual_routes() {
+std::vector<Route> usual_routes() {
   auto homed = route_of("homed", true);
   homed.homes = {RegionName{"south"}};
   auto first = route_of("first", true), last = route_of("last", true);
@@ -82,10 +82,10 @@
 // One dispatcher of region "north", on a clock that the test sets.
 struct Bench {
   explicit Bench(const RouteDispatcherSettings& settings = settings_of("d1", "north")) : dispatcher(settings) {
-    dispatcher.set_cold_until(Moment{INT64_MAX});
+    dispatcher.set_warming_up_until(TimePoint{INT64_MAX});
   }
-  void see(const std::vector<RunnerRow>& runners, std::vector<TrafficRoute> routes = usual_routes()) {
-    dispatcher.see(std::make_shared<TrafficView>(view_of(runners, routes)), now);
+  void see(const std::vector<RunnerRow>& runners, std::vector<Route> routes = usual_routes()) {
+    dispatcher.see(std::make_shared<RoutingView>(view_of(runners, routes)), now);
   }
   std::optional<FinalAct> arrive(const std::string& route, CallIndex index,
                                  const std::vector<PromptPart>& prompt = {}) {
@@ -94,12 +94,12 @@
     call.host = "a.example";
     call.path = "/" + route + "/x";
     call.prompt = prompt;
-    return dispatcher.arrive(call, now, index);
+    return dispatcher.admit(call, now, index);
   }
   // Runs the timers until then.
-  void run_to(Moment end) {
+  void run_to(TimePoint end) {
     while (now < end) {
-      now = std::min(end, std::max(now + Span{1}, dispatcher.timer_next(now)));
+      now = std::min(end, std::max(now + Duration{1}, dispatcher.timer_next(now)));
       dispatcher.on_timer(now);
     }
   }
@@ -111,7 +111,7 @@
     end.reason = "test";
     return end;
   }
-  void end(const RoutedSend& send, RoutedEndKind kind) { dispatcher.end_send(end_of(send, kind), now); }
+  void end(const RoutedSend& send, RoutedEndKind kind) { dispatcher.on_attempt_finished(end_of(send, kind), now); }
   std::optional<RoutedSend> sent() {
     auto sends = dispatcher.take_sends();
     EXPECT_LE(sends.size(), 1u);
@@ -120,7 +120,7 @@
     return sends.front();
   }
   RouteDispatcher dispatcher;
-  Moment now{100000};
+  TimePoint now{100000};
 };
 
 const std::vector<RunnerRow> two_north{runner_of("n1", "north"), runner_of("n2", "north")};
@@ -144,20 +144,20 @@
 TEST(RouteDispatcher, BeforeAnyViewACallWaitsAMomentAndThenGets503AndATimeToComeBack) {
   Bench bench;
   ASSERT_FALSE(bench.arrive("free", 1));
-  Moment begun = bench.now;
-  bench.run_to(begun + Span{149});
+  TimePoint begun = bench.now;
+  bench.run_to(begun + Duration{149});
   EXPECT_TRUE(bench.dispatcher.take_finals().empty());
   EXPECT_EQ(bench.dispatcher.in_hand(), 1u);
-  bench.run_to(begun + Span{170});
+  bench.run_to(begun + Duration{170});
   auto finals = bench.dispatcher.take_finals();
   ASSERT_EQ(finals.size(), 1u);
   EXPECT_EQ(finals.front().call, 1);
   EXPECT_EQ(finals.front().code, 503);
-  EXPECT_GT(finals.front().retry_after, Span{0});
+  EXPECT_GT(finals.front().retry_after, Duration{0});
   EXPECT_FALSE(finals.front().may_have_run);
   EXPECT_EQ(bench.dispatcher.in_hand(), 0u);
   // Later there is no such hope: at once, and to come back after longer.
-  bench.run_to(begun + Span{400});
+  bench.run_to(begun + Duration{400});
   auto refusal = bench.arrive("free", 2);
   ASSERT_TRUE(refusal);
   EXPECT_EQ(refusal->code, 503);
@@ -169,7 +169,7 @@
 TEST(RouteDispatcher, ACallThatWaitsForTheFirstMapIsSentWithIt) {
   Bench bench;
   ASSERT_FALSE(bench.arrive("free", 1));
-  bench.run_to(bench.now + Span{100});
+  bench.run_to(bench.now + Duration{100});
   bench.see(two_north);
   auto send = bench.sent();
   ASSERT_TRUE(send);
@@ -193,7 +193,7 @@
     for (const auto& send : bench.dispatcher.take_sends())
       EXPECT_EQ(send.runner.text, "s1");
   }
-  bench.run_to(bench.now + Span{2000});
+  bench.run_to(bench.now + Duration{2000});
   for (const auto& send : bench.dispatcher.take_sends())
     EXPECT_EQ(send.runner.text, "s1");
 }
@@ -202,7 +202,7 @@
   Bench bench;
   bench.see({runner_of("n1", "north"), runner_of("n2", "north"), runner_of("s1", "south", "down")});
   EXPECT_FALSE(bench.arrive("homed", 1));
-  bench.run_to(bench.now + Span{250});
+  bench.run_to(bench.now + Duration{250});
   EXPECT_TRUE(bench.dispatcher.take_sends().empty());
   auto finals = bench.dispatcher.take_finals();
   ASSERT_EQ(finals.size(), 1u);
@@ -217,7 +217,7 @@
   auto send = bench.sent();
   ASSERT_TRUE(send);
   bench.end(*send, RoutedEndKind::lost);
-  bench.run_to(bench.now + Span{1000});
+  bench.run_to(bench.now + Duration{1000});
   for (const auto& again : bench.dispatcher.take_sends())
     EXPECT_EQ(again.runner.text, "s1");
 }
@@ -236,7 +236,7 @@
     bench.see({runner_of("n1", "north", status), runner_of("n2", "north", status)});
     for (const auto& send : sends)
       bench.end(send, RoutedEndKind::refused);
-    bench.run_to(bench.now + Span{1000});
+    bench.run_to(bench.now + Duration{1000});
     EXPECT_TRUE(bench.dispatcher.take_sends().empty()) << status;
     EXPECT_EQ(bench.dispatcher.in_hand(), 0u);
   }
@@ -261,7 +261,7 @@
         used.insert(send->runner.text);
         bench->dispatcher.first_piece(index, send->turn, bench->now);
         bench->end(*send, RoutedEndKind::answered);
-        bench->now = bench->now + Span{40};
+        bench->now = bench->now + Duration{40};
       }
     }
     EXPECT_EQ(used.size(), 1u) << "opening " << opening;
@@ -290,7 +290,7 @@
       bench.end(in_hand.front(), RoutedEndKind::answered);
       in_hand.erase(in_hand.begin());
     }
-    bench.now = bench.now + Span{20};
+    bench.now = bench.now + Duration{20};
   }
   EXPECT_FALSE(for_long.empty());
   for (const auto& runner : for_long)
@@ -300,17 +300,17 @@
 TEST(RouteDispatcher, AColdRunnerGetsNoMoreThanItsShareInAnySecondAndNothingWithoutTheMastersWord) {
   Bench bench;
   auto cold = runner_of("n1", "north", "cold");
-  cold.grants = {{Address{"d1"}, 3}, {Address{"d2"}, 9}};
+  cold.warmup_grants = {{Address{"d1"}, 3}, {Address{"d2"}, 9}};
   bench.see({cold});
-  bench.run_to(bench.now + Span{2000});
-  std::vector<Moment> sent;
+  bench.run_to(bench.now + Duration{2000});
+  std::vector<TimePoint> sent;
   for (CallIndex index = 1; index <= 300; ++index) {
     bench.arrive("free", index);
     for (const auto& send : bench.dispatcher.take_sends()) {
       sent.push_back(bench.now);
       bench.end(send, RoutedEndKind::answered);
     }
-    bench.run_to(bench.now + Span{17});
+    bench.run_to(bench.now + Duration{17});
     for (const auto& send : bench.dispatcher.take_sends()) {
       sent.push_back(bench.now);
       bench.end(send, RoutedEndKind::answered);
@@ -318,41 +318,41 @@
   }
   EXPECT_GT(sent.size(), 9u);
   for (std::size_t i = 3; i < sent.size(); ++i)
-    EXPECT_GE(sent[i] - sent[i - 3], Span{1000});
-  bench.run_to(bench.now + Span{1500});
-  bench.dispatcher.set_cold_until(bench.now);
+    EXPECT_GE(sent[i] - sent[i - 3], Duration{1000});
+  bench.run_to(bench.now + Duration{1500});
+  bench.dispatcher.set_warming_up_until(bench.now);
   bench.arrive("free", 1000);
-  bench.run_to(bench.now + Span{1500});
+  bench.run_to(bench.now + Duration{1500});
   EXPECT_TRUE(bench.dispatcher.take_sends().empty());
 }
 
 // A dispatcher that starts anew knows nothing of what the same daemon sent a moment ago.
 TEST(RouteDispatcher, AfterARestartAColdRunnersShareIsNotUsedTwiceInOneSecond) {
   auto cold = runner_of("n1", "north", "cold");
-  cold.grants = {{Address{"d1"}, 3}};
+  cold.warmup_grants = {{Address{"d1"}, 3}};
   Bench before;
   before.see({cold});
-  before.run_to(before.now + Span{1500});
+  before.run_to(before.now + Duration{1500});
   std::size_t sent = 0;
   for (CallIndex index = 1; index <= 6; ++index)
     before.arrive("free", index);
   sent += before.dispatcher.take_sends().size();
   Bench after;
-  after.now = before.now + Span{200};
+  after.now = before.now + Duration{200};
   after.see({cold});
   for (CallIndex index = 1; index <= 6; ++index)
     after.arrive("free", index);
-  after.run_to(before.now + Span{999});
+  after.run_to(before.now + Duration{999});
   sent += after.dispatcher.take_sends().size();
   EXPECT_LE(sent, 3u);
 }
 
 TEST(RouteDispatcher, AColdRunnerThatLeavesTheViewForAMomentGetsItsShareOnce) {
   auto cold = runner_of("n1", "north", "cold");
-  cold.grants = {{Address{"d1"}, 3}};
+  cold.warmup_grants = {{Address{"d1"}, 3}};
   Bench bench;
   bench.see({cold});
-  bench.run_to(bench.now + Span{1500});
+  bench.run_to(bench.now + Duration{1500});
   std::size_t sent = 0;
   for (CallIndex index = 1; index <= 8; ++index) {
     if (index == 4) {
@@ -373,17 +373,17 @@
 TEST(RouteDispatcher, WhenNobodyIsFreeACallIsRefusedWithinAQuarterOfItsTarget) {
   Bench bench;
   bench.see({runner_of("n1", "north", "warm", 1)});
-  Moment begun = bench.now;
+  TimePoint begun = bench.now;
   std::size_t sent = 0, refused = 0;
   for (CallIndex index = 1; index <= 20; ++index)
     bench.arrive("free", index);
   sent = bench.dispatcher.take_sends().size();
-  bench.run_to(begun + Span{250});
+  bench.run_to(begun + Duration{250});
   for (const auto& act : bench.dispatcher.take_finals()) {
     ++refused;
     EXPECT_EQ(act.code, 503);
     EXPECT_FALSE(act.may_have_run);
-    EXPECT_GT(act.retry_after, Span{0});
+    EXPECT_GT(act.retry_after, Duration{0});
   }
   EXPECT_EQ(sent + refused, 20u);
   EXPECT_EQ(bench.dispatcher.in_hand(), sent);
@@ -411,7 +411,7 @@
     for (const auto& send : bench.dispatcher.take_sends())
       sends.push_back(send);
   }
-  bench.now = bench.now + Span{100};
+  bench.now = bench.now + Duration{100};
   bench.end(sends.front(), RoutedEndKind::answered);
   auto next = bench.sent();
   ASSERT_TRUE(next);
@@ -422,7 +422,7 @@
   Bench bench;
   bench.see({});
   EXPECT_FALSE(bench.arrive("free", 1));
-  bench.now = bench.now + Span{50};
+  bench.now = bench.now + Duration{50};
   bench.see(two_north);
   EXPECT_TRUE(bench.sent());
 }
@@ -450,7 +450,7 @@
   auto refusal = bench.arrive("free", 6);
   ASSERT_TRUE(refusal);
   EXPECT_EQ(refusal->code, 503);
-  EXPECT_GT(refusal->retry_after, Span{0});
+  EXPECT_GT(refusal->retry_after, Duration{0});
   EXPECT_EQ(bench.dispatcher.in_hand(), 5u);
 }
 
@@ -465,7 +465,7 @@
     ASSERT_TRUE(send);
     EXPECT_FALSE(send->is_repeatable);
     bench.end(*send, kind);
-    bench.run_to(bench.now + Span{12000});
+    bench.run_to(bench.now + Duration{12000});
     EXPECT_TRUE(bench.dispatcher.take_sends().empty());
     auto finals = bench.dispatcher.take_finals();
     ASSERT_EQ(finals.size(), 1u);
@@ -476,7 +476,7 @@
 
 // A copy of it was written before, over a link that then closed: the refusal of the second copy says nothing of it.
 TEST(RouteDispatcher, ARefusalPromisesNothingOfACopyThatMayHaveRun) {
-  for (RoutedEndKind kind : {RoutedEndKind::refused, RoutedEndKind::wrong_life, RoutedEndKind::unsent}) {
+  for (RoutedEndKind kind : {RoutedEndKind::refused, RoutedEndKind::wrong_incarnation, RoutedEndKind::unsent}) {
     Bench bench;
     bench.see({runner_of("r1", "north")});
     EXPECT_FALSE(bench.arrive("free", 1));
@@ -484,8 +484,8 @@
     ASSERT_EQ(sends.size(), 1u);
     RoutedEnd end = bench.end_of(sends[0], kind);
     end.may_have_run = true;
-    bench.dispatcher.end_send(end, bench.now);
-    bench.run_to(bench.now + Span{3000});
+    bench.dispatcher.on_attempt_finished(end, bench.now);
+    bench.run_to(bench.now + Duration{3000});
     auto finals = bench.dispatcher.take_finals();
     ASSERT_EQ(finals.size(), 1u);
     EXPECT_EQ(finals[0].code, 502);
@@ -504,7 +504,7 @@
   ASSERT_TRUE(second);
   EXPECT_NE(second->runner, first->runner);
   bench.end(*second, RoutedEndKind::lost);
-  bench.run_to(bench.now + Span{12000});
+  bench.run_to(bench.now + Duration{12000});
   EXPECT_TRUE(bench.dispatcher.take_sends().empty());
   auto finals = bench.dispatcher.take_finals();
   ASSERT_EQ(finals.size(), 1u);
@@ -512,7 +512,7 @@
 }
 
 TEST(RouteDispatcher, AfterDefiniteRefusalsACallIsSentOnOnlyWithinItsSends) {
-  for (Integer max_sends : {1, 2, 3}) {
+  for (std::int64_t max_sends : {1, 2, 3}) {
     auto settings = settings_of("d1", "north");
     settings.resend_start = settings.resend_bound = 100;
     Bench bench(settings);
@@ -523,19 +523,19 @@
       runners.push_back(runner_of("n" + std::to_string(i), "north"));
     bench.see(runners, {once});
     bench.arrive("once", 1);
-    Integer sends = 0;
+    std::int64_t sends = 0;
     std::set<std::string> used;
     while (auto send = bench.sent()) {
       ++sends;
       EXPECT_TRUE(used.insert(send->runner.text).second);
-      bench.end(*send, sends % 2 == 1 ? RoutedEndKind::refused : RoutedEndKind::wrong_life);
+      bench.end(*send, sends % 2 == 1 ? RoutedEndKind::refused : RoutedEndKind::wrong_incarnation);
     }
     EXPECT_EQ(sends, max_sends);
     auto finals = bench.dispatcher.take_finals();
     ASSERT_EQ(finals.size(), 1u);
     EXPECT_FALSE(finals[0].may_have_run);
     EXPECT_EQ(finals[0].code, 503);
-    EXPECT_GT(finals[0].retry_after, Span{0});
+    EXPECT_GT(finals[0].retry_after, Duration{0});
   }
 }
 
@@ -569,7 +569,7 @@
     bench.end(*send, RoutedEndKind::lost);
     EXPECT_FALSE(bench.sent());
     EXPECT_EQ(bench.dispatcher.take_finals().size(), 1u);
-    bench.run_to(bench.now + Span{3000});
+    bench.run_to(bench.now + Duration{3000});
   }
 }
 
@@ -583,7 +583,7 @@
   bench.dispatcher.first_piece(1, first->turn, bench.now);
   auto end = bench.end_of(*first, RoutedEndKind::broken);
   end.last_event = "17";
-  bench.dispatcher.end_send(end, bench.now);
+  bench.dispatcher.on_attempt_finished(end, bench.now);
   auto second = bench.sent();
   ASSERT_TRUE(second);
   EXPECT_NE(second->runner, first->runner);
@@ -614,7 +614,7 @@
   bench.arrive("once", 1);
   auto first = bench.sent();
   ASSERT_TRUE(first);
-  bench.end(*first, RoutedEndKind::wrong_life);
+  bench.end(*first, RoutedEndKind::wrong_incarnation);
   auto second = bench.sent();
   ASSERT_TRUE(second);
   EXPECT_NE(second->runner, first->runner);
@@ -622,7 +622,7 @@
     bench.arrive("free", index);
     for (const auto& send : bench.dispatcher.take_sends())
       EXPECT_NE(send.runner, first->runner);
-    bench.now = bench.now + Span{100};
+    bench.now = bench.now + Duration{100};
   }
 }
 
@@ -634,10 +634,10 @@
   bench.arrive("free", 1);
   auto first = bench.sent();
   ASSERT_TRUE(first);
-  Moment begun = bench.now;
+  TimePoint begun = bench.now;
   std::optional<RoutedSend> second;
-  while (!second && bench.now < begun + Span{1000}) {
-    bench.run_to(bench.now + Span{10});
+  while (!second && bench.now < begun + Duration{1000}) {
+    bench.run_to(bench.now + Duration{10});
     second = bench.sent();
   }
   ASSERT_TRUE(second);
@@ -654,12 +654,12 @@
   bench.arrive("once", 1);
   auto send = bench.sent();
   ASSERT_TRUE(send);
-  Moment begun = bench.now;
-  bench.run_to(begun + Span{9900});
+  TimePoint begun = bench.now;
+  bench.run_to(begun + Duration{9900});
   EXPECT_TRUE(bench.dispatcher.take_sends().empty());
   EXPECT_TRUE(bench.dispatcher.take_stops().empty());
   EXPECT_TRUE(bench.dispatcher.take_finals().empty());
-  bench.run_to(begun + Span{10200});
+  bench.run_to(begun + Duration{10200});
   EXPECT_EQ(bench.dispatcher.take_stops().size(), 1u);
   auto finals = bench.dispatcher.take_finals();
   ASSERT_EQ(finals.size(), 1u);
@@ -673,7 +673,7 @@
   bench.arrive("free", 1);
   auto send = bench.sent();
   ASSERT_TRUE(send);
-  bench.run_to(bench.now + Span{5000});
+  bench.run_to(bench.now + Duration{5000});
   EXPECT_TRUE(bench.dispatcher.take_stops().empty());
   bench.end(*send, RoutedEndKind::answered);
   EXPECT_EQ(bench.dispatcher.in_hand(), 0u);
@@ -766,7 +766,7 @@
 namespace {
 
 struct Sent {  // what the world knows of one send
-  Moment at;
+  TimePoint at;
   int dispatcher = 0;
   bool is_first = false;  // of its call
   bool reaches = false;   // it does not end unsent
@@ -798,27 +798,27 @@
     PoolName of;
   };
   struct Letter {
-    Moment at;
-    std::shared_ptr<const TrafficView> view;
-    Moment said;
+    TimePoint at;
+    std::shared_ptr<const RoutingView> view;
+    TimePoint said;
   };
   struct Daemon {
     std::string address, region;
-    int life = 0;
+    int incarnation = 0;
     std::unique_ptr<RouteDispatcher> dispatcher;
-    std::shared_ptr<const TrafficView> view;
+    std::shared_ptr<const RoutingView> view;
     std::map<CallIndex, InHand> calls;
     std::deque<Letter> mail;
-    Moment cut_until{-1}, down_until{-1}, cold_until{-1};
-    std::map<RunnerName, std::deque<std::pair<Moment, Integer>>> shares;  // since when it held which
+    TimePoint cut_until{-1}, down_until{-1}, warming_up_until{-1};
+    std::map<RunnerName, std::deque<std::pair<TimePoint, std::int64_t>>> shares;  // since when it held which
   };
   struct Event {
-    int daemon = 0, life = 0;
+    int daemon = 0, incarnation = 0;
     std::function<void(Daemon&)> act;
   };
 
   void start(Daemon& daemon) {
-    ++daemon.life;
+    ++daemon.incarnation;
     daemon.dispatcher = std::make_unique<RouteDispatcher>(settings_of(daemon.address, daemon.region));
     daemon.view = nullptr;
     daemon.calls.clear();
@@ -843,7 +843,7 @@
         continue;
       }
       // Cold again only after every old share has run out; else another life comes.
-      if (drawn == 1 && now - warm_since[row.name] > Span{4000})
+      if (drawn == 1 && now - warm_since[row.name] > Duration{4000})
         row.status = "cold";
       if (drawn <= 4 && drawn >= 2 && row.status == "cold") {
         row.status = "warm";
@@ -867,13 +867,13 @@
     for (const auto& daemon : daemons)
       if (daemon.down_until <= now && now >= daemon.cut_until)
         all.push_back(daemon.address);
-    TrafficView view;
+    RoutingView view;
     {
       std::vector<RunnerRow> rows;
       for (auto& [name, row] : runners) {
-        row.grants.clear();
+        row.warmup_grants.clear();
         if (row.status == "cold")
-          row.grants = shares.share(row, all, all, now);
+          row.warmup_grants = shares.share(row, all, all, now);
         else if (row.status == "warm")
           shares.forget(name);
         rows.push_back(row);
@@ -883,19 +883,19 @@
         route.pools = {{PoolName{"p"}, 3}, {PoolName{"q"}, 1}};
       view = view_of(rows, routes);
     }
-    auto shared = std::make_shared<const TrafficView>(std::move(view));
+    auto shared = std::make_shared<const RoutingView>(std::move(view));
     for (auto& daemon : daemons) {
       if (now < daemon.cut_until || now < daemon.down_until)
         continue;
-      Moment at = now + Span{1 + random.below(120)};
+      TimePoint at = now + Duration{1 + random.below(120)};
       if (!daemon.mail.empty())
         at = std::max(at, daemon.mail.back().at);
       daemon.mail.push_back({at, shared, now});
     }
   }
 
-  void plan(Daemon& daemon, Span later, std::function<void(Daemon&)> act) {
-    events.emplace(now + later, Event{static_cast<int>(&daemon - daemons.data()), daemon.life, std::move(act)});
+  void plan(Daemon& daemon, Duration later, std::function<void(Daemon&)> act) {
+    events.emplace(now + later, Event{static_cast<int>(&daemon - daemons.data()), daemon.incarnation, std::move(act)});
   }
 
   void take_send(Daemon& daemon, const RoutedSend& send) {
@@ -906,7 +906,7 @@
     RC_ASSERT(send.turn == call.turn + 1);
     RC_ASSERT(call.is_repeatable || call.all_sure);  // (c)
     const auto& row = daemon.view->runners.at(send.runner);
-    RC_ASSERT(row.status == "warm" || (row.status == "cold" && now < daemon.cold_until));
+    RC_ASSERT(row.status == "warm" || (row.status == "cold" && now < daemon.warming_up_until));
     call.is_sent = true;
     call.turn = send.turn;
     call.runner = send.runner;
@@ -916,8 +916,9 @@
     if (random.chance(trouble)) {
       auto drawn = is_refusing ? 0 : random.below(7);
       is_silent = drawn == 6;
-      const RoutedEndKind kinds[] = {RoutedEndKind::refused, RoutedEndKind::wrong_life, RoutedEndKind::unsent,
-                                     RoutedEndKind::lost,    RoutedEndKind::broken,     RoutedEndKind::lost,
+      const RoutedEndKind kinds[] = {RoutedEndKind::refused, RoutedEndKind::wrong_incarnation,
+                                     RoutedEndKind::unsent,  RoutedEndKind::lost,
+                                     RoutedEndKind::broken,  RoutedEndKind::lost,
                                      RoutedEndKind::lost};
       kind = kinds[drawn];
     }
@@ -926,15 +927,15 @@
       ++call.arrivals;
     all_sends.push_back({now, static_cast<int>(&daemon - daemons.data()), call.arrivals <= 1, reaches, row.pool});
     if (row.status == "cold")
-      cold_sends[send.runner].push_back(all_sends.back());
+      warmup_sends[send.runner].push_back(all_sends.back());
     if (is_silent)
       return;
     bool has_pieces = kind == RoutedEndKind::answered || kind == RoutedEndKind::broken;
-    Span takes{1 + random.below(kind == RoutedEndKind::answered ? 400 : 60)};
+    Duration takes{1 + random.below(kind == RoutedEndKind::answered ? 400 : 60)};
     CallIndex index = send.call;
     int turn = send.turn;
     if (has_pieces)
-      plan(daemon, Span{takes.value / 2},
+      plan(daemon, Duration{takes.value / 2},
            [this, index, turn](Daemon& at) { at.dispatcher->first_piece(index, turn, now); });
     int ends = random.chance(0.05) ? 2 : 1;  // told twice, now and then
     for (int i = 0; i < ends; ++i)
@@ -950,16 +951,16 @@
         end.running = random.below(10);
         if (is_current) {
           found->second.is_sent = false;
-          bool is_sure =
-              kind == RoutedEndKind::refused || kind == RoutedEndKind::wrong_life || kind == RoutedEndKind::unsent;
+          bool is_sure = kind == RoutedEndKind::refused || kind == RoutedEndKind::wrong_incarnation ||
+                         kind == RoutedEndKind::unsent;
           found->second.all_sure = found->second.all_sure && is_sure;
           if (kind == RoutedEndKind::answered)
             at.calls.erase(found);
         }
-        at.dispatcher->end_send(end, now);
+        at.dispatcher->on_attempt_finished(end, now);
       });
     if (random.chance(0.02))
-      plan(daemon, Span{random.below(300)}, [this, index](Daemon& at) {
+      plan(daemon, Duration{random.below(300)}, [this, index](Daemon& at) {
         at.dispatcher->caller_gone(index, now);
         auto found = at.calls.find(index);
         if (found == at.calls.end())
@@ -1002,41 +1003,41 @@
     InHand known;
     known.is_repeatable = name != "once";
     daemon.calls[index] = known;
-    if (daemon.dispatcher->arrive(call, now, index))
+    if (daemon.dispatcher->admit(call, now, index))
       daemon.calls.erase(index);
     collect(daemon);
   }
 
   void run() {
-    Moment publish_at = now;
+    TimePoint publish_at = now;
     while (now.value < length) {
-      now = now + Span{5};
+      now = now + Duration{5};
       bool is_evening = now.value > length - 12000;  // nothing new: everything must end
       if (publish_at <= now) {
         publish();
-        publish_at = now + Span{60 + random.below(200)};
+        publish_at = now + Duration{60 + random.below(200)};
       }
       for (auto& daemon : daemons) {
         if (now < daemon.down_until)
           continue;
         if (!is_evening && random.below(4000) == 0)
-          daemon.cut_until = now + Span{random.below(4000)};
+          daemon.cut_until = now + Duration{random.below(4000)};
         if (!is_evening && random.below(3000) == 0) {
           start(daemon);
-          daemon.down_until = now + Span{random.below(600)};
+          daemon.down_until = now + Duration{random.below(600)};
           continue;
         }
         while (!daemon.mail.empty() && daemon.mail.front().at <= now) {
           Letter letter = daemon.mail.front();
           daemon.mail.pop_front();
           daemon.view = letter.view;
-          daemon.cold_until = letter.said + ColdShares::lease;
-          daemon.dispatcher->set_cold_until(daemon.cold_until);
+          daemon.warming_up_until = letter.said + WarmupShares::lease;
+          daemon.dispatcher->set_warming_up_until(daemon.warming_up_until);
           for (const auto& [name, row] : letter.view->runners) {
-            Integer calls = 0;
-            for (const auto& grant : row.grants)
+            std::int64_t calls = 0;
+            for (const auto& grant : row.warmup_grants)
               if (grant.daemon.text == daemon.address)
-                calls = grant.calls;
+                calls = grant.requests;
             daemon.shares[name].emplace_back(now, row.status == "cold" ? calls : 0);
           }
           daemon.dispatcher->see(letter.view, now);
@@ -1047,7 +1048,7 @@
         Event event = events.begin()->second;
         events.erase(events.begin());
         Daemon& daemon = daemons[static_cast<std::size_t>(event.daemon)];
-        if (daemon.life != event.life)
+        if (daemon.incarnation != event.incarnation)
           continue;
         event.act(daemon);
         collect(daemon);
@@ -1067,14 +1068,14 @@
   }
 
   // What one daemon may send within the second that ends then: the largest share it held in it.
-  Integer share_within(const Daemon& daemon, const RunnerName& runner, Moment from, Moment to) const {
+  std::int64_t share_within(const Daemon& daemon, const RunnerName& runner, TimePoint from, TimePoint to) const {
     auto held = daemon.shares.find(runner);
-    Integer most = 0;
+    std::int64_t most = 0;
     if (held == daemon.shares.end())
       return 0;
     for (std::size_t i = 0; i < held->second.size(); ++i) {
       auto [since, calls] = held->second[i];
-      Moment until = i + 1 < held->second.size() ? held->second[i + 1].first : Moment{INT64_MAX};
+      TimePoint until = i + 1 < held->second.size() ? held->second[i + 1].first : TimePoint{INT64_MAX};
       if (since <= to && until >= from)
         most = std::max(most, calls);
     }
@@ -1082,19 +1083,19 @@
   }
 
   // (a)
-  void check_cold() const {
-    for (const auto& [runner, sends] : cold_sends) {
+  void check_warmup() const {
+    for (const auto& [runner, sends] : warmup_sends) {
       for (std::size_t end = 0, begin = 0; end < sends.size(); ++end) {
-        while (sends[end].at - sends[begin].at >= Span{1000})
+        while (sends[end].at - sends[begin].at >= Duration{1000})
           ++begin;
-        std::map<int, Integer> by_daemon;
+        std::map<int, std::int64_t> by_daemon;
         for (std::size_t i = begin; i <= end; ++i)
           ++by_daemon[sends[i].dispatcher];
-        Integer sum = 0, granted = 0;
+        std::int64_t sum = 0, granted = 0;
         for (const auto& [index, count] : by_daemon) {
           sum += count;
-          granted +=
-              share_within(daemons[static_cast<std::size_t>(index)], runner, sends[end].at + Span{-999}, sends[end].at);
+          granted += share_within(daemons[static_cast<std::size_t>(index)], runner, sends[end].at + Duration{-999},
+                                  sends[end].at);
         }
         RC_ASSERT(sum <= granted);
       }
@@ -1108,10 +1109,10 @@
       if (sent.reaches)
         by_pool[sent.of].push_back(sent);
     for (const auto& [name, sends] : by_pool) {
-      Integer first = 0, again = 0;
+      std::int64_t first = 0, again = 0;
       for (std::size_t end = 0, begin = 0; end < sends.size(); ++end) {
         ++(sends[end].is_first ? first : again);
-        for (; sends[end].at - sends[begin].at >= Span{10000}; ++begin)
+        for (; sends[end].at - sends[begin].at >= Duration{10000}; ++begin)
           --(sends[begin].is_first ? first : again);
         RC_ASSERT(static_cast<double>(again) < 0.2 * static_cast<double>(first) + 64);
       }
@@ -1119,14 +1120,14 @@
   }
 
   RandomGenerator random;
-  Moment now{0};
+  TimePoint now{0};
   std::vector<Daemon> daemons;
   std::map<RunnerName, RunnerRow> runners;
-  std::map<RunnerName, Moment> warm_since;
-  std::multimap<Moment, Event> events;
+  std::map<RunnerName, TimePoint> warm_since;
+  std::multimap<TimePoint, Event> events;
   std::vector<Sent> all_sends;
-  std::map<RunnerName, std::vector<Sent>> cold_sends;
-  ColdShares shares;
+  std::map<RunnerName, std::vector<Sent>> warmup_sends;
+  WarmupShares shares;
   CallIndex last_call = 0;
   int last_runner = 0;
   std::int64_t calls_a_tick = 1;
@@ -1140,11 +1141,11 @@
 RC_GTEST_PROP(RouteDispatcherDays, NothingIsOverspentOrSentTwiceAndEverythingEnds, (std::uint64_t seed)) {
   Day day(seed);
   day.run();
-  day.check_cold();
+  day.check_warmup();
   day.check_resends();
   for (const auto& daemon : day.daemons) {
     RC_ASSERT(daemon.calls.empty());
     RC_ASSERT(daemon.dispatcher->in_hand() == 0u);  // (e)
   }
-  RC_TAG(day.cold_sends.empty() ? "no cold sends" : "cold sends");
+  RC_TAG(day.warmup_sends.empty() ? "no cold sends" : "cold sends");
 }
--- a/packages/configuration-checker/src/main.cpp
+++ b/packages/configuration-checker/src/main.cpp
@@ -113,12 +113,12 @@
     auto row = rows.find(runner.name.text);
     if (row == rows.end())
       continue;
-    bool is_emptied = runner.is_leaving;
+    bool is_evacuated = runner.is_leaving;
     for (const auto& order : configuration.orders)
-      is_emptied = is_emptied || (order.zone == runner.zone && order.is_emptied);
+      is_evacuated = is_evacuated || (order.zone == runner.zone && order.is_evacuated);
     auto& count = left[{runner.pool.text, runner.region.text}];
     count.first += row->second.value("burden", 0);
-    if (!is_emptied && row->second["status"] == "warm")
+    if (!is_evacuated && row->second["status"] == "warm")
       count.second += row->second.value("capacity", 0);
   }
   for (const auto& [where, count] : left)
--- a/packages/configuration-register/include/emberdale/message_validation.hpp
+++ b/packages/configuration-register/include/emberdale/message_validation.hpp
@@ -19,18 +19,18 @@
   value_of_other_fleet,  // of another register
   value_implausible,     // a term or version above any that was given, or no sound set of copies
   sender_unknown,        // from a store or address that was not asked
-  not_as_asked,          // an answer that does not fit what was asked
+  unexpected_response,   // an answer that does not fit what was asked
 };
-// Example: reason_word(InvalidInput::value_unreadable) == "value_unreadable"
-const char* reason_word(InvalidInput reason);
+// Example: reason_name(InvalidInput::value_unreadable) == "value_unreadable"
+const char* reason_name(InvalidInput reason);
 
 // A ballot number of no proposer: one more could not be counted up for ever after.
-constexpr Integer highest_ballot = Integer{1} << 62;
+constexpr std::int64_t highest_ballot = std::int64_t{1} << 62;
 // Proposers count one up from the highest that they saw. A store that was away for a year at a thousand ballots a
 // second lacks fewer than this.
-constexpr Integer highest_ballot_step = Integer{1} << 40;
+constexpr std::int64_t highest_ballot_step = std::int64_t{1} << 40;
 // Proposers that may use one ballot number: each of them can add one version to the register with it.
-constexpr Integer proposers_per_number = 4096;
+constexpr std::int64_t proposers_per_number = 4096;
 
 // Whether the ballot is one that a proposer gives. Example: !check_ballot(Ballot{7, Address{"a"}})
 std::optional<InvalidInput> check_ballot(const Ballot& ballot);
@@ -56,11 +56,11 @@
 };
 
 // What was refused here. Example:
-//   refusals.add(from, *fault, ""); for (auto& refused : refusals.take_news()) journal.append(..);
+//   refusals.add(from, *fault, ""); for (auto& refused : refusals.drain_updates()) journal.append(..);
 class RefusedMessages {
  public:
   void add(const Address& from, InvalidInput reason, const std::string& detail);
-  std::vector<RefusedMessage> take_news() { return std::exchange(news_, {}); }
+  std::vector<RefusedMessage> drain_updates() { return std::exchange(news_, {}); }
   const std::map<InvalidInput, std::int64_t>& counts() const { return counts_; }
   std::int64_t total() const { return total_; }
 
--- a/packages/configuration-register/include/emberdale/register_acceptor.hpp
+++ b/packages/configuration-register/include/emberdale/register_acceptor.hpp
@@ -12,7 +12,7 @@
 namespace emberdale {
 
 // What to write before any answer may leave: the shell writes `record`, syncs, then calls synced(token).
-struct WriteWish {
+struct LogWrite {
   std::int64_t token = 0;
   std::string record;
 };
@@ -20,7 +20,7 @@
 // Example:
 //   RegisterAcceptor acceptor(StoreId{"s1"}); acceptor.restore(records_from_disk);
 //   acceptor.on_message(from, message, now);   // fills `writes` and `out`
-//   for (auto& wish : acceptor.take_writes()) { disk.append(wish.record); disk.sync(); acceptor.synced(wish.token); }
+//   for (auto& wish : acceptor.drain_writes()) { disk.append(wish.record); disk.sync(); acceptor.synced(wish.token); }
 class RegisterAcceptor {
  public:
   explicit RegisterAcceptor(StoreId store) : store_(std::move(store)) {}
@@ -30,15 +30,15 @@
   Outcome<bool> restore(const std::vector<std::string>& records);
 
   // Takes the register's messages; others are left alone (returns false).
-  bool on_message(const Address& from, const Message& message, Moment now);
+  bool on_message(const Address& from, const Message& message, TimePoint now);
 
   // The write of that token (and all before it) is on disk. Example: acceptor.synced(3)
   void synced(std::int64_t token);
   // The write of that token was refused by the disk: its answer is never sent.
   void refused(std::int64_t token);
 
-  std::vector<WriteWish> take_writes();
-  std::vector<Sending> take_out();
+  std::vector<LogWrite> drain_writes();
+  std::vector<OutboundMessage> drain_outbound();
 
   // The whole state as one record, for a snapshot. Example: log.snapshot(acceptor.picture())
   std::string picture() const;
@@ -59,20 +59,20 @@
     std::int64_t token;
     AcceptorRecord after;
     std::optional<FleetState> state;  // of the value, if it is a new one
-    Sending answer;
+    OutboundMessage answer;
     std::size_t size = 0;  // of its record
   };
   bool is_backlogged();
   void on_prepare(const Address& from, const Prepare& prepare);
   void on_accept(const Address& from, const Accept& accept);
-  void on_read(const Address& from, const ReadAsk& read, Moment now);
+  void on_read(const Address& from, const ReadRequest& read, TimePoint now);
   // The value that an Accept carries or describes; nothing if its base is not held here.
   std::optional<Bytes> whole_value(const Accept& accept) const;
   // Puts the value into the answer: the delta alone if the asker holds the value before it.
-  void add_value(const Ballot& known, ReadAnswer& answer);
-  void on_found(const Address& from, const Found& found);
+  void add_value(const Ballot& known, ReadResponse& response);
+  void on_bootstrap_request(const Address& from, const BootstrapRequest& bootstrap_request);
   // `state`: the decoded value, where the record brings a new one; else the record names the value it stands on.
-  void write(AcceptorRecord after, std::optional<FleetState> state, Sending answer);
+  void write(AcceptorRecord after, std::optional<FleetState> state, OutboundMessage answer);
 
   StoreId store_;
   AcceptorRecord ahead_;   // with what is still being written
@@ -84,10 +84,10 @@
   std::deque<Held> held_;
   std::int64_t last_token_ = 0, dropped_ = 0;
   std::size_t unsynced_bytes_ = 0;
-  std::vector<WriteWish> writes_;
-  std::vector<Sending> out_;
-  std::map<Address, Moment> heard_;
-  std::optional<Moment> awake_since_;
+  std::vector<LogWrite> writes_;
+  std::vector<OutboundMessage> out_;
+  std::map<Address, TimePoint> heard_;
+  std::optional<TimePoint> awake_since_;
   RefusedMessages refusals_;
 };
 
--- a/packages/configuration-register/src/message_validation.cpp
+++ b/packages/configuration-register/src/message_validation.cpp
@@ -7,7 +7,7 @@
 namespace emberdale {
 namespace {
 
-constexpr std::size_t told_bound = 1024;  // peers and reasons that are told of; all are counted
+constexpr std::size_t notified_bound = 1024;  // peers and reasons that are told of; all are counted
 constexpr std::size_t proposer_name_bound = 256;
 constexpr std::size_t detail_bound = 200;
 
@@ -30,7 +30,7 @@
 
 // Why no register can hold this under the ballot; empty if it can.
 std::string implausibility(const FleetState& state, const Ballot& ballot) {
-  if (state.fleet.empty())
+  if (state.fleet_name.empty())
     return "it names no fleet";
   if (state.acceptors.empty() || !is_sound_set(state.acceptors) || !is_sound_set(state.next_acceptors))
     return "its set of copies is not sound";
@@ -48,7 +48,7 @@
 
 }  // namespace
 
-const char* reason_word(InvalidInput reason) {
+const char* reason_name(InvalidInput reason) {
   switch (reason) {
     case InvalidInput::ballot_out_of_range:
       return "ballot_out_of_range";
@@ -64,7 +64,7 @@
       return "value_implausible";
     case InvalidInput::sender_unknown:
       return "sender_unknown";
-    case InvalidInput::not_as_asked:
+    case InvalidInput::unexpected_response:
       return "not_as_asked";
   }
   return "unknown";
@@ -87,8 +87,8 @@
   auto state = decode_state(value.data);
   if (!state)
     return {InvalidInput::value_unreadable, state.reason, {}};
-  if (!fleet.empty() && state->fleet != fleet)
-    return {InvalidInput::value_of_other_fleet, "it is of '" + state->fleet + "', not '" + fleet + "'", {}};
+  if (!fleet.empty() && state->fleet_name != fleet)
+    return {InvalidInput::value_of_other_fleet, "it is of '" + state->fleet_name + "', not '" + fleet + "'", {}};
   std::string reason = implausibility(*state, ballot);
   if (!reason.empty())
     return {InvalidInput::value_implausible, reason, {}};
@@ -98,7 +98,7 @@
 void RefusedMessages::add(const Address& from, InvalidInput reason, const std::string& detail) {
   ++counts_[reason];
   ++total_;
-  if (told_.size() < told_bound && told_.insert({from, reason}).second)
+  if (told_.size() < notified_bound && told_.insert({from, reason}).second)
     news_.push_back({from, reason, printable(detail)});
 }
 
--- a/packages/configuration-register/src/register_acceptor.cpp
+++ b/packages/configuration-register/src/register_acceptor.cpp
@@ -28,8 +28,8 @@
       auto value = decode_state(record->value.data);
       if (!value)
         return failure(value.reason);
-      if (!state.fleet.empty() && value->fleet != state.fleet)
-        return failure("the log holds a value of '" + value->fleet + "' after one of '" + state.fleet + "'");
+      if (!state.fleet_name.empty() && value->fleet_name != state.fleet_name)
+        return failure("the log holds a value of '" + value->fleet_name + "' after one of '" + state.fleet_name + "'");
       values[record->accepted] = record->value;
       state = std::move(*value);
     } else {
@@ -47,7 +47,7 @@
   return true;
 }
 
-void RegisterAcceptor::write(AcceptorRecord after, std::optional<FleetState> state, Sending answer) {
+void RegisterAcceptor::write(AcceptorRecord after, std::optional<FleetState> state, OutboundMessage answer) {
   ahead_ = after;
   AcceptorRecord lean = after;
   lean.has_value = state.has_value();
@@ -66,17 +66,17 @@
   return true;
 }
 
-bool RegisterAcceptor::on_message(const Address& from, const Message& message, Moment now) {
+bool RegisterAcceptor::on_message(const Address& from, const Message& message, TimePoint now) {
   if (!awake_since_)
     awake_since_ = now;
   if (const auto* prepare = std::get_if<Prepare>(&message))
     on_prepare(from, *prepare);
   else if (const auto* accept = std::get_if<Accept>(&message))
     on_accept(from, *accept);
-  else if (const auto* read = std::get_if<ReadAsk>(&message))
+  else if (const auto* read = std::get_if<ReadRequest>(&message))
     on_read(from, *read, now);
-  else if (const auto* found = std::get_if<Found>(&message))
-    on_found(from, *found);
+  else if (const auto* bootstrap_request = std::get_if<BootstrapRequest>(&message))
+    on_bootstrap_request(from, *bootstrap_request);
   else
     return false;
   return true;
@@ -91,13 +91,13 @@
   if (fault)
     return refusals_.add(from, *fault, "Prepare with ballot " + std::to_string(prepare.ballot.number));
   if (prepare.ballot < ahead_.promised || prepare.ballot == ahead_.promised) {
-    out_.push_back({from, Promise{prepare.ask, store_, false, ahead_.promised, Ballot{}, Bytes{}}});
+    out_.push_back({from, Promise{prepare.request_id, store_, false, ahead_.promised, Ballot{}, Bytes{}}});
     return;
   }
   AcceptorRecord after = ahead_;
   after.promised = prepare.ballot;
-  bool is_known = prepare.known == ahead_.accepted;
-  Promise promise{prepare.ask, store_, true, prepare.ballot, ahead_.accepted, is_known ? Bytes{} : ahead_.value};
+  bool is_known = prepare.known_ballot == ahead_.accepted;
+  Promise promise{prepare.request_id, store_, true, prepare.ballot, ahead_.accepted, is_known ? Bytes{} : ahead_.value};
   write(after, std::nullopt, {from, std::move(promise)});
 }
 
@@ -107,10 +107,10 @@
   if (auto fault = check_ballot_step(accept.ballot, ahead_.promised))
     return refusals_.add(from, *fault, "Accept with ballot " + std::to_string(accept.ballot.number));
   if (accept.ballot < ahead_.promised) {
-    out_.push_back({from, Accepted{accept.ask, store_, false, ahead_.promised}});
+    out_.push_back({from, Accepted{accept.request_id, store_, false, ahead_.promised}});
     return;
   }
-  Sending answer{from, Accepted{accept.ask, store_, true, accept.ballot}};
+  OutboundMessage answer{from, Accepted{accept.request_id, store_, true, accept.ballot}};
   if (accept.ballot == ahead_.accepted) {  // a copy that is already here, or on its way to disk
     if (held_.empty())
       out_.push_back(std::move(answer));
@@ -120,10 +120,10 @@
   }
   auto value = whole_value(accept);
   if (!value) {
-    out_.push_back({from, Accepted{accept.ask, store_, false, accept.ballot, true}});
+    out_.push_back({from, Accepted{accept.request_id, store_, false, accept.ballot, true}});
     return;
   }
-  auto checked = check_value(*value, accept.ballot, state_.fleet);
+  auto checked = check_value(*value, accept.ballot, state_.fleet_name);
   if (checked.fault)
     return refusals_.add(from, *checked.fault, "Accept: " + checked.detail);
   write({accept.ballot, true, accept.ballot, std::move(*value)}, std::move(checked.state), std::move(answer));
@@ -140,67 +140,67 @@
   return Bytes{std::move(*whole)};
 }
 
-void RegisterAcceptor::on_read(const Address& from, const ReadAsk& read, Moment now) {
+void RegisterAcceptor::on_read(const Address& from, const ReadRequest& read, TimePoint now) {
   if (read.role == "edge")
     heard_[from] = now;
-  ReadAnswer answer;
-  answer.ask = read.ask;
-  answer.store = store_;
-  answer.blank = is_blank();
-  answer.accepted = synced_.accepted;
-  answer.minimum_version = state_.minimum_version;
-  answer.acceptors = state_.acceptors;
-  answer.next_acceptors = state_.next_acceptors;
-  answer.awake = (now - *awake_since_).value;
-  if (read.role != "data" && !read.lean && read.known != synced_.accepted)
-    add_value(read.known, answer);
-  if (read.wants_heard)
+  ReadResponse response;
+  response.request_id = read.request_id;
+  response.store = store_;
+  response.blank = is_blank();
+  response.accepted = synced_.accepted;
+  response.minimum_version = state_.minimum_version;
+  response.acceptors = state_.acceptors;
+  response.next_acceptors = state_.next_acceptors;
+  response.uptime_ms = (now - *awake_since_).value;
+  if (read.role != "data" && !read.ballots_only && read.known_ballot != synced_.accepted)
+    add_value(read.known_ballot, response);
+  if (read.wants_contacts)
     for (const auto& [daemon, moment] : heard_)
-      answer.heard.push_back({daemon, (now - moment).value});
-  out_.push_back({from, std::move(answer)});
+      response.contacts.push_back({daemon, (now - moment).value});
+  out_.push_back({from, std::move(response)});
 }
 
-void RegisterAcceptor::add_value(const Ballot& known, ReadAnswer& answer) {
+void RegisterAcceptor::add_value(const Ballot& known, ReadResponse& response) {
   bool holds_previous = known != Ballot{} && known == previous_ballot_;
   if (holds_previous && !delta_) {
     delta_ = Bytes{make_delta(previous_value_.data, synced_.value.data)};
     digest_ = Bytes{content_digest_bytes(synced_.value.data)};
   }
   if (!holds_previous || delta_->data.size() >= synced_.value.data.size() / 2) {
-    answer.value = synced_.value;
+    response.value = synced_.value;
     return;
   }
-  answer.base = known;
-  answer.value = *delta_;
-  answer.digest = *digest_;
+  response.base = known;
+  response.value = *delta_;
+  response.digest = *digest_;
 }
 
-void RegisterAcceptor::on_found(const Address& from, const Found& found) {
+void RegisterAcceptor::on_bootstrap_request(const Address& from, const BootstrapRequest& bootstrap_request) {
   if (is_backlogged())
     return;
-  FoundAnswer answer{found.ask, store_, false, ""};
+  BootstrapResponse response{bootstrap_request.request_id, store_, false, ""};
   const Ballot first{1, Address{"founding"}};
-  if (found.store != store_)
-    answer.reason = "another store";
-  else if (ahead_.accepted != Ballot{} && !(ahead_.value == found.value))
-    answer.reason = "this store already holds a register";
-  bool is_new = answer.reason.empty() && ahead_.accepted == Ballot{};
+  if (bootstrap_request.store != store_)
+    response.reason = "another store";
+  else if (ahead_.accepted != Ballot{} && !(ahead_.value == bootstrap_request.value))
+    response.reason = "this store already holds a register";
+  bool is_new = response.reason.empty() && ahead_.accepted == Ballot{};
   CheckedValue checked;
   if (is_new)
-    checked = check_value(found.value, first, "");
+    checked = check_value(bootstrap_request.value, first, "");
   if (checked.fault) {
-    answer.reason = checked.detail;
+    response.reason = checked.detail;
     refusals_.add(from, *checked.fault, "Found: " + checked.detail);
   }
-  answer.granted = answer.reason.empty();
-  if (answer.granted && !is_new && !held_.empty())
-    return write(ahead_, std::nullopt, {from, answer});  // the same value may still be on its way to disk
-  if (!answer.granted || !is_new) {
-    out_.push_back({from, answer});
+  response.granted = response.reason.empty();
+  if (response.granted && !is_new && !held_.empty())
+    return write(ahead_, std::nullopt, {from, response});  // the same value may still be on its way to disk
+  if (!response.granted || !is_new) {
+    out_.push_back({from, response});
     return;
   }
-  AcceptorRecord after{ahead_.promised < first ? first : ahead_.promised, true, first, found.value};
-  write(after, std::move(checked.state), {from, answer});
+  AcceptorRecord after{ahead_.promised < first ? first : ahead_.promised, true, first, bootstrap_request.value};
+  write(after, std::move(checked.state), {from, response});
 }
 
 void RegisterAcceptor::synced(std::int64_t token) {
@@ -226,8 +226,8 @@
   ahead_ = synced_;
 }
 
-std::vector<WriteWish> RegisterAcceptor::take_writes() { return std::exchange(writes_, {}); }
-std::vector<Sending> RegisterAcceptor::take_out() { return std::exchange(out_, {}); }
+std::vector<LogWrite> RegisterAcceptor::drain_writes() { return std::exchange(writes_, {}); }
+std::vector<OutboundMessage> RegisterAcceptor::drain_outbound() { return std::exchange(out_, {}); }
 
 std::string RegisterAcceptor::picture() const {
   AcceptorRecord record = synced_;
--- a/packages/configuration-register/src/register_proposer.cpp
+++ b/packages/configuration-register/src/register_proposer.cpp
@@ -8,12 +8,14 @@
 
 namespace emberdale {
 namespace {
-constexpr Span phase_patience{400};
+constexpr Duration phase_patience{400};
 constexpr std::size_t large_value = 16384;  // from here on values are sent only to those who lack them
 // A large value takes its time on a narrow link.
-Span patience_for(std::size_t bytes) { return Span{phase_patience.value + static_cast<std::int64_t>(bytes / 400)}; }
-constexpr Span hint_patience{2000};
-constexpr Span read_patience{200};           // a read that is not settled by then may be asked anew
+Duration patience_for(std::size_t bytes) {
+  return Duration{phase_patience.value + static_cast<std::int64_t>(bytes / 400)};
+}
+constexpr Duration hint_patience{2000};
+constexpr Duration read_patience{200};       // a read that is not settled by then may be asked anew
 constexpr std::size_t most_read_values = 2;  // values of reads that are kept at a time
 constexpr std::size_t hint_bound = 24;
 
@@ -65,21 +67,22 @@
     out_.push_back({entry.address, make(entry.store)});
 }
 
-void RegisterProposer::ask_each(const std::vector<AcceptorEntry>& stores,
-                                const std::function<Message(const StoreId&)>& make) {
+void RegisterProposer::send_request_to_each(const std::vector<AcceptorEntry>& stores,
+                                            const std::function<Message(const StoreId&)>& make) {
   current_->asked.clear();
   for (const auto& entry : stores)
     current_->asked.insert(entry.store);
   send_each(stores, make);
 }
 
-void RegisterProposer::change(Change change, std::function<void(const ChangeEnd&)> done, Moment now, Span patience) {
+void RegisterProposer::change(Change change, std::function<void(const ChangeEnd&)> done, TimePoint now,
+                              Duration patience) {
   waiting_.push_back({std::move(change), std::move(done), now + patience});
   if (!current_)
     start_next(now);
 }
 
-void RegisterProposer::start_next(Moment now) {
+void RegisterProposer::start_next(TimePoint now) {
   if (current_ || waiting_.empty())
     return;
   current_ = Round();
@@ -88,12 +91,12 @@
   begin_prepare(now);
 }
 
-void RegisterProposer::begin_prepare(Moment now) {
+void RegisterProposer::begin_prepare(TimePoint now) {
   Round& round = *current_;
   ++counts_.rounds;
   ++round.tries;
   round.phase = Round::Phase::preparing;
-  round.ask = ++last_ask_;
+  round.ask = ++last_request_id_;
   round.ballot = Ballot{highest_seen_.number + 1, self_};
   highest_seen_ = round.ballot;
   round.phase_end = now + patience_for(state_bytes_.data.size());
@@ -106,18 +109,20 @@
   round.held.clear();
   bool is_large = state_bytes_.data.size() >= large_value;
   Ballot known = is_large ? state_ballot_ : Ballot{};
-  ask_each(everyone(), [&](const StoreId& store) { return Prepare{round.ask, store, round.ballot, known}; });
+  send_request_to_each(everyone(), [&](const StoreId& store) {
+    return Prepare{round.ask, store, round.ballot, known};
+  });
 }
 
-void RegisterProposer::pause(Moment now) {
+void RegisterProposer::pause(TimePoint now) {
   Round& round = *current_;
   round.phase = Round::Phase::pausing;
-  round.ask = ++last_ask_;
+  round.ask = ++last_request_id_;
   std::int64_t spread = 20ll << std::min(round.tries, 5);
-  round.phase_end = now + Span{5 + random_.below(spread)};
+  round.phase_end = now + Duration{5 + random_.below(spread)};
 }
 
-void RegisterProposer::begin_accept(Moment now) {
+void RegisterProposer::begin_accept(TimePoint now) {
   Round& round = *current_;
   const FleetState* found = &round.found;
   // The set that voted must be the set the value names: else vote again among those.
@@ -173,7 +178,7 @@
   const std::string& whole = round.value.data;
   Bytes delta, digest;
   if (whole.size() >= large_value) {
-    delta.data = make_delta(round.found_bytes.data, whole);
+    delta.data = make_delta(round.found_value_bytes.data, whole);
     digest.data = content_digest_bytes(whole);
   }
   bool is_worth_it = !delta.data.empty() && delta.data.size() < whole.size() / 2;
@@ -185,7 +190,7 @@
     // It has not answered yet, and holds what the others hold as a rule; if not, it says so.
     return std::any_of(asked.begin(), asked.end(), [&](const auto& entry) { return entry.store == store; });
   };
-  ask_each(stores, [&](const StoreId& store) {
+  send_request_to_each(stores, [&](const StoreId& store) {
     bool is_delta = is_worth_it && may_hold_base(store);
     ++(is_delta ? counts_.deltas : counts_.whole_values);
     Accept accept{round.ask, store, round.ballot, is_delta ? delta : round.value};
@@ -200,7 +205,7 @@
 
 // A store that does not hold the base of a delta gets the whole value, also once the others have decided.
 void RegisterProposer::send_whole(const Address& from, const Accepted& accepted) {
-  bool is_of_round = current_ && current_->phase == Round::Phase::accepting && accepted.ask == current_->ask &&
+  bool is_of_round = current_ && current_->phase == Round::Phase::accepting && accepted.request_id == current_->ask &&
                      accepted.promised == current_->ballot && current_->asked.count(accepted.store) != 0;
   const auto members = everyone();
   bool is_of_state =
@@ -211,10 +216,10 @@
   const Bytes& value = is_of_round ? current_->value : state_bytes_;
   ++counts_.whole_values;
   counts_.value_bytes += static_cast<std::int64_t>(value.data.size());
-  out_.push_back({from, Accept{accepted.ask, accepted.store, accepted.promised, value}});
+  out_.push_back({from, Accept{accepted.request_id, accepted.store, accepted.promised, value}});
 }
 
-void RegisterProposer::adopt(const Ballot& ballot, const FleetState& state, Moment proven_from) {
+void RegisterProposer::adopt(const Ballot& ballot, const FleetState& state, TimePoint proven_from) {
   if (!has_state_ || state_ballot_ < ballot) {
     has_state_ = true;
     state_ = state;
@@ -229,7 +234,7 @@
     highest_seen_ = ballot;
 }
 
-void RegisterProposer::finish(ChangeEnd end, Moment now) {
+void RegisterProposer::finish(ChangeEnd end, TimePoint now) {
   auto done = std::move(current_->job.done);
   current_.reset();
   if (end.kind == ChangeEnd::Kind::committed)
@@ -241,38 +246,39 @@
     done(end);
 }
 
-bool RegisterProposer::is_reading(Moment now) const {
+bool RegisterProposer::is_reading(TimePoint now) const {
   return read_ && !read_->is_over && now - read_->begun < read_patience;
 }
 
 // A large value may take longer on its way than the next read waits: it counts whichever read it answers.
-bool RegisterProposer::keep_value(const Address& from, const ReadAnswer& answer) {
-  bool is_new = !answer.value.data.empty() && (!has_state_ || state_ballot_ < answer.accepted) &&
-                read_states_.count(answer.accepted) == 0;
-  Bytes value = is_new ? value_in(answer) : Bytes{};
+bool RegisterProposer::keep_value(const Address& from, const ReadResponse& response) {
+  bool is_new = !response.value.data.empty() && (!has_state_ || state_ballot_ < response.accepted) &&
+                read_states_.count(response.accepted) == 0;
+  Bytes value = is_new ? value_in(response) : Bytes{};
   if (value.data.empty())
     return true;
-  auto checked = check_value(value, answer.accepted, has_state_ ? state_.fleet : "");
-  if (!checked.fault && !(same_set(answer.acceptors, checked.state.acceptors) &&
-                          same_set(answer.next_acceptors, checked.state.next_acceptors)))
-    checked.fault = InvalidInput::not_as_asked;
+  auto checked = check_value(value, response.accepted, has_state_ ? state_.fleet_name : "");
+  if (!checked.fault && !(same_set(response.acceptors, checked.state.acceptors) &&
+                          same_set(response.next_acceptors, checked.state.next_acceptors)))
+    checked.fault = InvalidInput::unexpected_response;
   if (checked.fault) {
     refusals_.add(from, *checked.fault, "ReadAnswer: " + checked.detail);
     return false;
   }
-  read_states_[answer.accepted] = std::move(checked.state);
+  read_states_[response.accepted] = std::move(checked.state);
   while (read_states_.size() > most_read_values)
     read_states_.erase(read_states_.begin());
   return true;
 }
 
-std::int64_t RegisterProposer::poll(Moment now, const std::string& role, bool wants_heard) {
+std::int64_t RegisterProposer::poll(TimePoint now, const std::string& role, bool wants_heard) {
   ++counts_.reads;
   read_ = Read();
-  read_->ask = ++last_ask_;
+  read_->ask = ++last_request_id_;
   read_->begun = now;
   read_->wants_heard = wants_heard;
-  ReadAsk ask{read_->ask, role, std::exchange(wants_whole_, false) ? Ballot{} : state_ballot_, wants_heard, false};
+  ReadRequest request{read_->ask, role, std::exchange(wants_whole_, false) ? Ballot{} : state_ballot_, wants_heard,
+                      false};
   // A large value is asked of one copy: this machine's own, or where the last read saw a newer one.
   bool has_own =
       std::any_of(acceptors_.begin(), acceptors_.end(), [&](const auto& entry) { return entry.address == self_; });
@@ -281,8 +287,8 @@
     value_at_ = Address{};
     for (const auto& entry : everyone()) {
       read_->asked.insert(entry.address);
-      ReadAsk one = ask;
-      one.lean = entry.address != full && entry.address != self_;
+      ReadRequest one = request;
+      one.ballots_only = entry.address != full && entry.address != self_;
       out_.push_back({entry.address, one});
     }
     return read_->ask;
@@ -292,16 +298,16 @@
     hints = hints_;
   for (const auto& entry : everyone())
     hints.erase(entry.address);
-  send_each(everyone(), [&](const StoreId&) { return ask; });
+  send_each(everyone(), [&](const StoreId&) { return request; });
   for (const auto& hint : hints)
-    out_.push_back({hint, ask});
+    out_.push_back({hint, request});
   read_->asked = hints;
   for (const auto& entry : everyone())
     read_->asked.insert(entry.address);
   return read_->ask;
 }
 
-void RegisterProposer::settle_read(Moment now) {
+void RegisterProposer::settle_read(TimePoint now) {
   Read& read = *read_;
   std::set<StoreId> same, all;
   for (const auto& [store, ballot] : read.answers) {
@@ -325,8 +331,8 @@
   reached_at_ = read.begun;
   if (read.wants_heard) {
     // The most recent sign of life that any copy of this majority has seen, once all have watched.
-    std::map<Address, Span> silences;
-    Span watched{INT64_MAX};
+    std::map<Address, Duration> silences;
+    Duration watched{INT64_MAX};
     for (const auto& [store, span] : read.awake)
       watched = std::min(watched, span);
     for (const auto& [store, heard] : read.heard)
@@ -344,12 +350,12 @@
     if (read.answers.size() == everyone().size() || ++split_reads_ >= 2) {
       split_reads_ = 0;
       if (!current_ && waiting_.empty()) {
-        ++counts_.mended;
+        ++counts_.repaired;
         change(
             [](const FleetState&) {
               return Verdict{Verdict::Kind::already_there, {}, ""};
             },
-            nullptr, now, Span{1500});
+            nullptr, now, Duration{1500});
       }
     }
     return;
@@ -378,19 +384,19 @@
       is_member = is_member || member.store == store;
     if (!is_member)
       continue;
-    ++counts_.mended;
+    ++counts_.repaired;
     out_.push_back({read.places[store], Accept{0, store, state_ballot_, state_bytes_}});
     read.answers[store] = read.highest;
   }
 }
 
-bool RegisterProposer::on_message(const Address& from, const Message& message, Moment now) {
+bool RegisterProposer::on_message(const Address& from, const Message& message, TimePoint now) {
   if (const auto* promise = std::get_if<Promise>(&message))
     on_promise(from, *promise, now);
   else if (const auto* accepted = std::get_if<Accepted>(&message))
     on_accepted(from, *accepted, now);
-  else if (const auto* answer = std::get_if<ReadAnswer>(&message))
-    on_read_answer(from, *answer, now);
+  else if (const auto* response = std::get_if<ReadResponse>(&message))
+    on_read_answer(from, *response, now);
   else
     return false;
   return true;
@@ -409,7 +415,7 @@
     return refuse(*fault, "ballot " + std::to_string(promised.number));
   // Granted is the ballot that was asked for; in its way stands a higher one, or itself (of a former life, or a copy).
   if (granted ? promised != round.ballot : promised < round.ballot)
-    return refuse(InvalidInput::not_as_asked,
+    return refuse(InvalidInput::unexpected_response,
                   "ballot " + std::to_string(promised.number) + " for " + std::to_string(round.ballot.number));
   if (highest_seen_ < promised)
     highest_seen_ = promised;
@@ -419,23 +425,23 @@
 bool RegisterProposer::take_promised_value(const Address& from, const Promise& promise) {
   Round& round = *current_;
   if (!promise.value.data.empty()) {
-    auto checked = check_value(promise.value, promise.accepted, has_state_ ? state_.fleet : "");
+    auto checked = check_value(promise.value, promise.accepted, has_state_ ? state_.fleet_name : "");
     if (checked.fault) {
       refusals_.add(from, *checked.fault, "Promise: " + checked.detail);
       return false;
     }
     round.found = std::move(checked.state);
-    round.found_bytes = promise.value;
+    round.found_value_bytes = promise.value;
   } else {
     round.found = state_;  // left out because it is known here
-    round.found_bytes = state_bytes_;
+    round.found_value_bytes = state_bytes_;
   }
   round.highest = promise.accepted;
   return true;
 }
 
-void RegisterProposer::on_promise(const Address& from, const Promise& promise, Moment now) {
-  if (!current_ || current_->phase != Round::Phase::preparing || promise.ask != current_->ask)
+void RegisterProposer::on_promise(const Address& from, const Promise& promise, TimePoint now) {
+  if (!current_ || current_->phase != Round::Phase::preparing || promise.request_id != current_->ask)
     return;
   if (!takes_round_answer(from, promise.store, promise.granted, promise.promised))
     return;
@@ -446,7 +452,7 @@
   }
   bool has_accepted = promise.accepted != Ballot{};
   if (has_accepted && (check_ballot(promise.accepted) || !(promise.accepted < round.ballot)))
-    return refusals_.add(from, InvalidInput::not_as_asked,
+    return refusals_.add(from, InvalidInput::unexpected_response,
                          "Promise: holds ballot " + std::to_string(promise.accepted.number));
   if (round.highest < promise.accepted) {
     // What was known when the round began may have been overtaken: the round begins anew.
@@ -466,10 +472,10 @@
     begin_accept(now);
 }
 
-void RegisterProposer::on_accepted(const Address& from, const Accepted& accepted, Moment now) {
-  if (accepted.needs_whole)
+void RegisterProposer::on_accepted(const Address& from, const Accepted& accepted, TimePoint now) {
+  if (accepted.needs_full_value)
     return send_whole(from, accepted);
-  if (!current_ || current_->phase != Round::Phase::accepting || accepted.ask != current_->ask)
+  if (!current_ || current_->phase != Round::Phase::accepting || accepted.request_id != current_->ask)
     return;
   if (!takes_round_answer(from, accepted.store, accepted.granted, accepted.promised))
     return;
@@ -485,7 +491,7 @@
     adopt(round.ballot, round.proposed, confirmed_at_);
     if (round.is_carrying) {
       round.highest = round.ballot;
-      round.found_bytes = round.value;
+      round.found_value_bytes = round.value;
       begin_prepare(now);
     } else {
       finish(round.end, now);
@@ -493,66 +499,67 @@
   }
 }
 
-std::optional<InvalidInput> RegisterProposer::check_read_answer(const Address& from, const ReadAnswer& answer) const {
+std::optional<InvalidInput> RegisterProposer::check_read_answer(const Address& from,
+                                                                const ReadResponse& response) const {
   if (read_->asked.count(from) == 0)
     return InvalidInput::sender_unknown;
-  bool holds_nothing = answer.accepted == Ballot{};
-  bool has_ages = answer.awake >= 0 && std::all_of(answer.heard.begin(), answer.heard.end(),
-                                                   [](const Heard& heard) { return heard.age >= 0; });
-  if (!has_ages || answer.blank != holds_nothing || (holds_nothing && !answer.value.data.empty()))
-    return InvalidInput::not_as_asked;
+  bool holds_nothing = response.accepted == Ballot{};
+  bool has_ages = response.uptime_ms >= 0 && std::all_of(response.contacts.begin(), response.contacts.end(),
+                                                         [](const LastContact& heard) { return heard.age_ms >= 0; });
+  if (!has_ages || response.blank != holds_nothing || (holds_nothing && !response.value.data.empty()))
+    return InvalidInput::unexpected_response;
   if (holds_nothing)
     return std::nullopt;
-  if (auto fault = check_ballot_step(answer.accepted, highest_seen_))
+  if (auto fault = check_ballot_step(response.accepted, highest_seen_))
     return fault;
   // The copies that a known value names are known as well.
-  bool is_known = has_state_ && answer.accepted == state_ballot_;
+  bool is_known = has_state_ && response.accepted == state_ballot_;
   if (is_known &&
-      !(same_set(answer.acceptors, state_.acceptors) && same_set(answer.next_acceptors, state_.next_acceptors)))
-    return InvalidInput::not_as_asked;
+      !(same_set(response.acceptors, state_.acceptors) && same_set(response.next_acceptors, state_.next_acceptors)))
+    return InvalidInput::unexpected_response;
   return std::nullopt;
 }
 
-Bytes RegisterProposer::value_in(const ReadAnswer& answer) {
-  if (answer.base == Ballot{})
-    return answer.value;
-  if (answer.base == state_ballot_) {
-    auto whole = apply_delta(state_bytes_.data, answer.value.data);
-    if (whole && content_digest_bytes(*whole) == answer.digest.data)
+Bytes RegisterProposer::value_in(const ReadResponse& response) {
+  if (response.base == Ballot{})
+    return response.value;
+  if (response.base == state_ballot_) {
+    auto whole = apply_delta(state_bytes_.data, response.value.data);
+    if (whole && content_digest_bytes(*whole) == response.digest.data)
       return Bytes{std::move(*whole)};
   }
   wants_whole_ = true;
   return Bytes{};
 }
 
-void RegisterProposer::on_read_answer(const Address& from, const ReadAnswer& answer, Moment now) {
+void RegisterProposer::on_read_answer(const Address& from, const ReadResponse& response, TimePoint now) {
   if (!read_)
     return;
-  bool is_current = answer.ask == read_->ask;
-  bool is_late_value = !is_current && !answer.value.data.empty() && read_->asked.count(from) != 0;
+  bool is_current = response.request_id == read_->ask;
+  bool is_late_value = !is_current && !response.value.data.empty() && read_->asked.count(from) != 0;
   if (!is_current && !is_late_value)
     return;
-  if (auto fault = check_read_answer(from, answer))
-    return refusals_.add(from, *fault, "ReadAnswer with ballot " + std::to_string(answer.accepted.number));
-  if (!keep_value(from, answer) || !is_current || answer.store.empty())
+  if (auto fault = check_read_answer(from, response))
+    return refusals_.add(from, *fault, "ReadAnswer with ballot " + std::to_string(response.accepted.number));
+  if (!keep_value(from, response) || !is_current || response.store.empty())
     return;
   Read& read = *read_;
-  read.answers[answer.store] = answer.accepted;
-  read.places[answer.store] = from;
-  if (read.highest < answer.accepted) {
-    read.highest = answer.accepted;
-    read.acceptors = answer.acceptors;
-    read.next = answer.next_acceptors;
+  read.answers[response.store] = response.accepted;
+  read.places[response.store] = from;
+  if (read.highest < response.accepted) {
+    read.highest = response.accepted;
+    read.acceptors = response.acceptors;
+    read.next = response.next_acceptors;
   }
   if (read.wants_heard) {
-    for (const auto& heard : answer.heard)
-      read.heard[answer.store][heard.daemon] = Span{heard.age};
-    read.awake[answer.store] = Span{answer.awake};
+    for (const auto& heard : response.contacts)
+      read.heard[response.store][heard.daemon] = Duration{heard.age_ms};
+    read.awake[response.store] = Duration{response.uptime_ms};
   }
   settle_read(now);
 }
 
-void RegisterProposer::on_timer(Moment now) {
+void RegisterProposer::on_timer(TimePoint now) {
   // What waits behind a change in hand keeps its own deadline, and is surely not applied.
   for (std::size_t i = 0; i < waiting_.size();) {
     if (waiting_[i].deadline <= now) {
@@ -585,6 +592,6 @@
   }
 }
 
-std::vector<Sending> RegisterProposer::take_out() { return std::exchange(out_, {}); }
+std::vector<OutboundMessage> RegisterProposer::drain_outbound() { return std::exchange(out_, {}); }
 
 }  // namespace emberdale
--- a/packages/configuration-register/tests/configuration_register_test.cpp
+++ b/packages/configuration-register/tests/configuration_register_test.cpp
@@ -117,7 +117,7 @@
               entry = fresh;
           return {Verdict::Kind::apply, next, ""};
         },
-        count_end, Moment{1000}, Span{100000});
+        count_end, TimePoint{1000}, Duration{100000});
     bench.add_mark("late");  // races with the change of the set
     for (int j = 0; j < 900; ++j)
       bench.step(0.03, 0.03);
@@ -130,7 +130,7 @@
           next.next_acceptors.clear();
           return {Verdict::Kind::apply, next, ""};
         },
-        count_end, Moment{1000}, Span{100000});
+        count_end, TimePoint{1000}, Duration{100000});
     for (int j = 0; j < 900; ++j)
       bench.step(0.03, 0.03);
     ASSERT_EQ(ended, 2) << seed;
@@ -153,7 +153,7 @@
   bench.settle(500);
   bench.start(RegisterBench::place(2));
   bench.settle(1500);  // only reads from here on
-  EXPECT_GE(bench.proposer("one").counts().mended, 1);
+  EXPECT_GE(bench.proposer("one").counts().repaired, 1);
   // The mended copy carries the change: with it and one other a reader finds it.
   bench.stop(RegisterBench::place(0), false);
   bench.check();
@@ -177,7 +177,7 @@
         const auto& proposer = bench.proposer("other");
         has_seen = proposer.has_state() && proposer.state().version == end.state.version;
       },
-      Moment{1000}, Span{100000});
+      TimePoint{1000}, Duration{100000});
   bench.settle(60);
   EXPECT_TRUE(has_seen);
 }
@@ -185,17 +185,17 @@
 TEST(ConfigurationRegister, AStalledDiskLeavesAsksUnansweredInPlaceOfAnEverLongerQueue) {
   RegisterAcceptor acceptor(StoreId{"s1"});
   FleetState state;
-  state.fleet = "north";
+  state.fleet_name = "north";
   state.version = 1;
   state.acceptors.push_back({StoreId{"s1"}, Address{"here"}});
-  acceptor.on_message(Address{"founder"}, Found{1, StoreId{"s1"}, {encode_state(state)}}, Moment{0});
-  acceptor.synced(acceptor.take_writes().back().token);
-  acceptor.take_out();
+  acceptor.on_message(Address{"founder"}, BootstrapRequest{1, StoreId{"s1"}, {encode_state(state)}}, TimePoint{0});
+  acceptor.synced(acceptor.drain_writes().back().token);
+  acceptor.drain_outbound();
   std::int64_t last = 0, writes = 0;
   for (std::int64_t ask = 1; ask <= 10000; ++ask) {
     acceptor.on_message(Address{"p"}, Prepare{ask, StoreId{"s1"}, Ballot{ask + 1, Address{"p"}}, Ballot{}},
-                        Moment{ask});
-    for (const auto& write : acceptor.take_writes()) {
+                        TimePoint{ask});
+    for (const auto& write : acceptor.drain_writes()) {
       last = write.token;
       ++writes;
     }
@@ -204,13 +204,13 @@
   EXPECT_EQ(acceptor.unsynced(), static_cast<std::size_t>(writes));
   EXPECT_EQ(acceptor.dropped(), 10000 - writes);
   EXPECT_TRUE(
-      acceptor.take_out().empty());  // nothing is answered before it is on disk, and a dropped ask is not refused
+      acceptor.drain_outbound().empty());  // nothing is answered before it is on disk, and a dropped ask is not refused
   // Reads go on from what is on disk.
-  acceptor.on_message(Address{"p"}, ReadAsk{20000, "edge", Ballot{}, false, false}, Moment{10001});
-  EXPECT_EQ(acceptor.take_out().size(), 1u);
+  acceptor.on_message(Address{"p"}, ReadRequest{20000, "edge", Ballot{}, false, false}, TimePoint{10001});
+  EXPECT_EQ(acceptor.drain_outbound().size(), 1u);
   acceptor.synced(last);
-  EXPECT_EQ(acceptor.take_out().size(), static_cast<std::size_t>(writes));
+  EXPECT_EQ(acceptor.drain_outbound().size(), static_cast<std::size_t>(writes));
   acceptor.on_message(Address{"p"}, Prepare{30000, StoreId{"s1"}, Ballot{30000, Address{"p"}}, Ballot{}},
-                      Moment{10002});
-  EXPECT_EQ(acceptor.take_writes().size(), 1u);
+                      TimePoint{10002});
+  EXPECT_EQ(acceptor.drain_writes().size(), 1u);
 }
--- a/packages/configuration-register/tests/message_validation_test.cpp
+++ b/packages/configuration-register/tests/message_validation_test.cpp
@@ -13,11 +13,11 @@
 
 const Address proposer_a{"proposer-a"}, core_1{"core-1"}, core_2{"core-2"}, core_3{"core-3"};
 const StoreId store_1{"s1"}, store_2{"s2"}, store_3{"s3"};
-constexpr Moment now{1000};
+constexpr TimePoint now{1000};
 
-FleetState sound_state(Integer version = 1) {
+FleetState sound_state(std::int64_t version = 1) {
   FleetState state;
-  state.fleet = "fleet";
+  state.fleet_name = "fleet";
   state.version = version;
   state.acceptors = {{store_1, core_1}, {store_2, core_2}, {store_3, core_3}};
   return state;
@@ -29,15 +29,15 @@
 struct Copy {
   RegisterAcceptor acceptor{store_1};
   Copy() {
-    tell(core_2, Found{1, store_1, value_of(sound_state())});
+    tell(core_2, BootstrapRequest{1, store_1, value_of(sound_state())});
     tell(proposer_a, Prepare{2, store_1, Ballot{7, proposer_a}, Ballot{}});
     tell(proposer_a, Accept{3, store_1, Ballot{7, proposer_a}, value_of(sound_state(3))});
   }
-  std::vector<Sending> tell(const Address& from, const Message& message) {
+  std::vector<OutboundMessage> tell(const Address& from, const Message& message) {
     acceptor.on_message(from, message, now);
-    for (auto& wish : acceptor.take_writes())
-      acceptor.synced(wish.token);
-    return acceptor.take_out();
+    for (auto& log_write : acceptor.drain_writes())
+      acceptor.synced(log_write.token);
+    return acceptor.drain_outbound();
   }
   std::string picture() const { return acceptor.picture(); }
 };
@@ -46,17 +46,17 @@
 void expect_refused(Copy& copy, const Address& from, const Message& message, InvalidInput reason) {
   const std::string before = copy.picture();
   std::int64_t total = copy.acceptor.refusals().total();
-  EXPECT_TRUE(copy.tell(from, message).empty()) << reason_word(reason);
-  EXPECT_EQ(copy.picture(), before) << reason_word(reason);
-  EXPECT_EQ(copy.acceptor.refusals().total(), total + 1) << reason_word(reason);
-  EXPECT_GE(copy.acceptor.refusals().counts().count(reason), 1u) << reason_word(reason);
+  EXPECT_TRUE(copy.tell(from, message).empty()) << reason_name(reason);
+  EXPECT_EQ(copy.picture(), before) << reason_name(reason);
+  EXPECT_EQ(copy.acceptor.refusals().total(), total + 1) << reason_name(reason);
+  EXPECT_GE(copy.acceptor.refusals().counts().count(reason), 1u) << reason_name(reason);
 }
 
-Accept accept_of(const Bytes& value, Integer number = 9) {
+Accept accept_of(const Bytes& value, std::int64_t number = 9) {
   return Accept{5, store_1, Ballot{number, proposer_a}, value};
 }
 
-std::optional<Promise> promise_in(const std::vector<Sending>& out) {
+std::optional<Promise> promise_in(const std::vector<OutboundMessage>& out) {
   if (out.size() != 1 || !std::holds_alternative<Promise>(out[0].message))
     return std::nullopt;
   return std::get<Promise>(out[0].message);
@@ -66,9 +66,9 @@
 
 TEST(MessageValidation, NoBallotMakesTheOnesAfterItImpossible) {
   Copy copy;
-  const Integer top = std::numeric_limits<Integer>::max();
-  for (Integer number :
-       {top, top - 1, highest_ballot + 1, Integer{0}, Integer{-1}, std::numeric_limits<Integer>::min()}) {
+  const std::int64_t top = std::numeric_limits<std::int64_t>::max();
+  for (std::int64_t number : {top, top - 1, highest_ballot + 1, std::int64_t{0}, std::int64_t{-1},
+                              std::numeric_limits<std::int64_t>::min()}) {
     expect_refused(copy, proposer_a, Prepare{4, store_1, Ballot{number, proposer_a}, Ballot{}},
                    InvalidInput::ballot_out_of_range);
     expect_refused(copy, proposer_a, accept_of(value_of(sound_state(4)), number), InvalidInput::ballot_out_of_range);
@@ -92,10 +92,10 @@
   newer[1] = 9;  // the format's number
   expect_refused(copy, proposer_a, accept_of({newer}), InvalidInput::value_unreadable);
   FleetState other = sound_state(4);
-  other.fleet = "another";
+  other.fleet_name = "another";
   expect_refused(copy, proposer_a, accept_of(value_of(other)), InvalidInput::value_of_other_fleet);
   for (const auto& spoil : std::vector<std::function<void(FleetState&)>>{
-           [](FleetState& s) { s.version = Integer{1} << 50; }, [](FleetState& s) { s.version = -1; },
+           [](FleetState& s) { s.version = std::int64_t{1} << 50; }, [](FleetState& s) { s.version = -1; },
            [](FleetState& s) { s.term = 5; }, [](FleetState& s) { s.term = -1; },
            [](FleetState& s) { s.minimum_version.term = 1; }, [](FleetState& s) { s.acceptors.clear(); },
            [](FleetState& s) { s.acceptors[1].store = s.acceptors[0].store; },
@@ -117,12 +117,12 @@
   RegisterAcceptor acceptor(store_1);
   std::string whole = encode_state(sound_state());
   for (const std::string& value : {std::string(), whole.substr(0, whole.size() - 1), encode_state(FleetState{})}) {
-    acceptor.on_message(core_2, Found{1, store_1, {value}}, now);
-    EXPECT_TRUE(acceptor.take_writes().empty());
-    auto out = acceptor.take_out();
+    acceptor.on_message(core_2, BootstrapRequest{1, store_1, {value}}, now);
+    EXPECT_TRUE(acceptor.drain_writes().empty());
+    auto out = acceptor.drain_outbound();
     ASSERT_EQ(out.size(), 1u);
-    EXPECT_FALSE(std::get<FoundAnswer>(out[0].message).granted);
-    EXPECT_FALSE(std::get<FoundAnswer>(out[0].message).reason.empty());
+    EXPECT_FALSE(std::get<BootstrapResponse>(out[0].message).granted);
+    EXPECT_FALSE(std::get<BootstrapResponse>(out[0].message).reason.empty());
   }
   EXPECT_TRUE(acceptor.is_blank());
   EXPECT_EQ(acceptor.refusals().total(), 3);
@@ -134,23 +134,23 @@
     refusals.add(core_1, InvalidInput::sender_unknown, "a\nb");
     refusals.add(core_2, InvalidInput::sender_unknown, std::string(1000, 'x'));
   }
-  refusals.add(core_1, InvalidInput::not_as_asked, "");
-  auto news = refusals.take_news();
-  ASSERT_EQ(news.size(), 3u);
-  EXPECT_EQ(news[0].detail, "a?b");
-  EXPECT_EQ(news[1].detail.size(), 200u);
-  EXPECT_TRUE(refusals.take_news().empty());
+  refusals.add(core_1, InvalidInput::unexpected_response, "");
+  auto updates = refusals.drain_updates();
+  ASSERT_EQ(updates.size(), 3u);
+  EXPECT_EQ(updates[0].detail, "a?b");
+  EXPECT_EQ(updates[1].detail.size(), 200u);
+  EXPECT_TRUE(refusals.drain_updates().empty());
   EXPECT_EQ(refusals.total(), 11);
   EXPECT_EQ(refusals.counts().at(InvalidInput::sender_unknown), 10);
 }
 
 TEST(MessageValidation, ALogOfAnotherRegisterOrANewerVersionIsNotReplayed) {
-  auto record = [](Integer number, const FleetState& state) {
+  auto record = [](std::int64_t number, const FleetState& state) {
     Ballot ballot{number, proposer_a};
     return encode_acceptor_record({ballot, true, ballot, value_of(state)});
   };
   FleetState other = sound_state(4);
-  other.fleet = "another";
+  other.fleet_name = "another";
   RegisterAcceptor acceptor(store_1);
   auto restored = acceptor.restore({record(3, sound_state(2)), record(4, other)});
   EXPECT_FALSE(restored);
@@ -175,29 +175,29 @@
     proposer.learn_acceptors(sound_state().acceptors);
     poll();
     for (int i = 0; i < 3; ++i)
-      proposer.on_message(place(i), read_answer(i), now);
+      proposer.on_message(place(i), read_response(i), now);
     EXPECT_EQ(proposer.state().version, 3);
   }
   static Address place(int i) { return sound_state().acceptors[static_cast<std::size_t>(i)].address; }
   static StoreId store(int i) { return sound_state().acceptors[static_cast<std::size_t>(i)].store; }
   void poll() {
     proposer.poll(now, "core", false);
-    ask = std::get<ReadAsk>(proposer.take_out().at(0).message).ask;
+    ask = std::get<ReadRequest>(proposer.drain_outbound().at(0).message).request_id;
   }
-  ReadAnswer read_answer(int i, Integer number = 7, Integer version = 3) const {
-    ReadAnswer answer;
-    answer.ask = ask;
-    answer.store = store(i);
-    answer.accepted = Ballot{number, proposer_a};
-    answer.acceptors = sound_state().acceptors;
-    answer.value = value_of(sound_state(version));
-    return answer;
+  ReadResponse read_response(int i, std::int64_t number = 7, std::int64_t version = 3) const {
+    ReadResponse response;
+    response.request_id = ask;
+    response.store = store(i);
+    response.accepted = Ballot{number, proposer_a};
+    response.acceptors = sound_state().acceptors;
+    response.value = value_of(sound_state(version));
+    return response;
   }
   void expect_refused(const Address& from, const Message& message, InvalidInput reason) {
     std::int64_t total = proposer.refusals().total();
     proposer.on_message(from, message, now);
-    EXPECT_EQ(proposer.refusals().total(), total + 1) << reason_word(reason);
-    EXPECT_GE(proposer.refusals().counts().count(reason), 1u) << reason_word(reason);
+    EXPECT_EQ(proposer.refusals().total(), total + 1) << reason_name(reason);
+    EXPECT_GE(proposer.refusals().counts().count(reason), 1u) << reason_name(reason);
     EXPECT_EQ(proposer.state().version, 3);
   }
 };
@@ -207,32 +207,32 @@
 TEST(MessageValidation, AReadTakesNoAnswerThatItDidNotAskForOrThatDoesNotFit) {
   Asker asker;
   asker.poll();
-  asker.expect_refused(Address{"stranger"}, asker.read_answer(0, 9, 5), InvalidInput::sender_unknown);
-  asker.expect_refused(core_1, asker.read_answer(0, highest_ballot, 5), InvalidInput::ballot_too_far);
-  asker.expect_refused(core_1, asker.read_answer(0, -4, 5), InvalidInput::ballot_out_of_range);
-  asker.expect_refused(core_1, asker.read_answer(0, 9, Integer{1} << 40), InvalidInput::value_implausible);
-  ReadAnswer answer = asker.read_answer(0, 9, 5);
-  answer.value.data.resize(20);
-  asker.expect_refused(core_1, answer, InvalidInput::value_unreadable);
-  answer = asker.read_answer(0, 9, 5);
+  asker.expect_refused(Address{"stranger"}, asker.read_response(0, 9, 5), InvalidInput::sender_unknown);
+  asker.expect_refused(core_1, asker.read_response(0, highest_ballot, 5), InvalidInput::ballot_too_far);
+  asker.expect_refused(core_1, asker.read_response(0, -4, 5), InvalidInput::ballot_out_of_range);
+  asker.expect_refused(core_1, asker.read_response(0, 9, std::int64_t{1} << 40), InvalidInput::value_implausible);
+  ReadResponse response = asker.read_response(0, 9, 5);
+  response.value.data.resize(20);
+  asker.expect_refused(core_1, response, InvalidInput::value_unreadable);
+  response = asker.read_response(0, 9, 5);
   FleetState other = sound_state(5);
-  other.fleet = "another";
-  answer.value = value_of(other);
-  asker.expect_refused(core_1, answer, InvalidInput::value_of_other_fleet);
-  answer = asker.read_answer(0);
-  answer.acceptors = {{store_1, core_1}};  // alone it would be a majority
-  asker.expect_refused(core_1, answer, InvalidInput::not_as_asked);
-  answer = asker.read_answer(0, 9, 5);
-  answer.acceptors = {{store_1, core_1}};
-  asker.expect_refused(core_1, answer, InvalidInput::not_as_asked);
-  answer = asker.read_answer(0);
-  answer.blank = true;
-  asker.expect_refused(core_1, answer, InvalidInput::not_as_asked);
-  answer = asker.read_answer(0);
-  answer.awake = -1;
-  asker.expect_refused(core_1, answer, InvalidInput::not_as_asked);
+  other.fleet_name = "another";
+  response.value = value_of(other);
+  asker.expect_refused(core_1, response, InvalidInput::value_of_other_fleet);
+  response = asker.read_response(0);
+  response.acceptors = {{store_1, core_1}};  // alone it would be a majority
+  asker.expect_refused(core_1, response, InvalidInput::unexpected_response);
+  response = asker.read_response(0, 9, 5);
+  response.acceptors = {{store_1, core_1}};
+  asker.expect_refused(core_1, response, InvalidInput::unexpected_response);
+  response = asker.read_response(0);
+  response.blank = true;
+  asker.expect_refused(core_1, response, InvalidInput::unexpected_response);
+  response = asker.read_response(0);
+  response.uptime_ms = -1;
+  asker.expect_refused(core_1, response, InvalidInput::unexpected_response);
   for (int i = 0; i < 2; ++i)
-    asker.proposer.on_message(Asker::place(i), asker.read_answer(i, 9, 5), now);
+    asker.proposer.on_message(Asker::place(i), asker.read_response(i, 9, 5), now);
   EXPECT_EQ(asker.proposer.state().version, 5);
 }
 
@@ -245,12 +245,12 @@
         next.config_revision += 1;
         return Verdict{Verdict::Kind::apply, next, ""};
       },
-      [&](const ChangeEnd& end) { is_done = end.kind == ChangeEnd::Kind::committed; }, now, Span{4000});
-  auto out = asker.proposer.take_out();
+      [&](const ChangeEnd& end) { is_done = end.kind == ChangeEnd::Kind::committed; }, now, Duration{4000});
+  auto out = asker.proposer.drain_outbound();
   ASSERT_EQ(out.size(), 3u);
   auto prepare = std::get<Prepare>(out[0].message);
   const Ballot held{7, proposer_a};
-  Promise good{prepare.ask, store_1, true, prepare.ballot, held, value_of(sound_state(3))};
+  Promise good{prepare.request_id, store_1, true, prepare.ballot, held, value_of(sound_state(3))};
   Promise bad = good;
   bad.store = StoreId{"no-member"};
   asker.expect_refused(core_1, bad, InvalidInput::sender_unknown);
@@ -259,40 +259,40 @@
   asker.expect_refused(core_1, bad, InvalidInput::ballot_too_far);
   bad = good;
   bad.promised.number += 1;
-  asker.expect_refused(core_1, bad, InvalidInput::not_as_asked);
+  asker.expect_refused(core_1, bad, InvalidInput::unexpected_response);
   bad = good;
   bad.accepted = prepare.ballot;
-  asker.expect_refused(core_1, bad, InvalidInput::not_as_asked);
+  asker.expect_refused(core_1, bad, InvalidInput::unexpected_response);
   bad = good;
   bad.value.data.resize(11);
   asker.expect_refused(core_1, bad, InvalidInput::value_unreadable);
   bad = good;
   bad.granted = false;
-  bad.promised.number = std::numeric_limits<Integer>::max();
+  bad.promised.number = std::numeric_limits<std::int64_t>::max();
   asker.expect_refused(core_1, bad, InvalidInput::ballot_out_of_range);
   asker.proposer.on_message(core_1, good, now);
-  EXPECT_TRUE(asker.proposer.take_out().empty());  // one of three
+  EXPECT_TRUE(asker.proposer.drain_outbound().empty());  // one of three
   good.store = store_2;
   asker.proposer.on_message(core_2, good, now);
-  out = asker.proposer.take_out();
+  out = asker.proposer.drain_outbound();
   ASSERT_EQ(out.size(), 3u);
   auto accept = std::get<Accept>(out[0].message);
   EXPECT_TRUE(accept.ballot == prepare.ballot);  // no bad number raised it
-  asker.expect_refused(core_1, Accepted{accept.ask, StoreId{"no-member"}, true, accept.ballot},
+  asker.expect_refused(core_1, Accepted{accept.request_id, StoreId{"no-member"}, true, accept.ballot},
                        InvalidInput::sender_unknown);
-  asker.expect_refused(core_1, Accepted{accept.ask, store_1, true, held}, InvalidInput::not_as_asked);
-  asker.proposer.on_message(core_1, Accepted{accept.ask, store_1, true, accept.ballot}, now);
+  asker.expect_refused(core_1, Accepted{accept.request_id, store_1, true, held}, InvalidInput::unexpected_response);
+  asker.proposer.on_message(core_1, Accepted{accept.request_id, store_1, true, accept.ballot}, now);
   EXPECT_FALSE(is_done);
-  asker.proposer.on_message(core_2, Accepted{accept.ask, store_2, true, accept.ballot}, now);
+  asker.proposer.on_message(core_2, Accepted{accept.request_id, store_2, true, accept.ballot}, now);
   EXPECT_TRUE(is_done);
 }
 
 namespace {
 
 // A ballot that no proposer gives.
-Integer bad_number(RandomGenerator& random) {
-  const Integer numbers[] = {std::numeric_limits<Integer>::max(), std::numeric_limits<Integer>::min(), -1,
-                             highest_ballot + 1, highest_ballot};
+std::int64_t bad_number(RandomGenerator& random) {
+  const std::int64_t numbers[] = {std::numeric_limits<std::int64_t>::max(), std::numeric_limits<std::int64_t>::min(),
+                                  -1, highest_ballot + 1, highest_ballot};
   return numbers[random.below(5)];
 }
 
@@ -303,10 +303,10 @@
     return {value.data.substr(0, value.data.size() / 2)};
   switch (random.below(4)) {
     case 0:
-      state->fleet = "another";
+      state->fleet_name = "another";
       break;
     case 1:
-      state->version = Integer{1} << 60;
+      state->version = std::int64_t{1} << 60;
       break;
     case 2:
       state->term = state->version + 1;
@@ -342,13 +342,13 @@
       accepted->promised.number = bad_number(random);
     else
       accepted->store = no_member;
-  } else if (auto* answer = std::get_if<ReadAnswer>(&bad)) {
+  } else if (auto* response = std::get_if<ReadResponse>(&bad)) {
     if (random.chance(0.3))
-      answer->accepted.number = bad_number(random);
+      response->accepted.number = bad_number(random);
     else
       sender.text = "stranger";
-  } else if (auto* found = std::get_if<Found>(&bad)) {
-    found->value = bad_value(found->value, random);
+  } else if (auto* bootstrap_request = std::get_if<BootstrapRequest>(&bad)) {
+    bootstrap_request->value = bad_value(bootstrap_request->value, random);
   }
   return {sender, bad};
 }
@@ -382,9 +382,9 @@
     const std::vector<Message> sound{
         Message{Prepare{4, store_1, Ballot{9, proposer_a}, Ballot{}}},
         Message{accept_of(value_of(sound_state(4)))},
-        Message{Found{1, store_1, value_of(sound_state())}},
-        Message{ReadAsk{9, "core", Ballot{}, true, false}},
-        Message{asker.read_answer(1, 9, 5)},
+        Message{BootstrapRequest{1, store_1, value_of(sound_state())}},
+        Message{ReadRequest{9, "core", Ballot{}, true, false}},
+        Message{asker.read_response(1, 9, 5)},
         Message{Promise{4, store_2, true, Ballot{9, proposer_a}, Ballot{7, proposer_a}, value_of(sound_state(3))}},
         Message{Accepted{4, store_2, true, Ballot{9, proposer_a}}}};
     for (int i = 0; i < 20; ++i) {
@@ -398,7 +398,7 @@
       asker.proposer.on_message(core_2, *message, now);
       RC_ASSERT(!(copy.acceptor.accepted() < accepted) && !(asker.proposer.ballot() < known));
       RC_ASSERT(copy.acceptor.accepted().number <= highest_ballot);
-      RC_ASSERT(copy.acceptor.state().fleet == "fleet" && asker.proposer.state().fleet == "fleet");
+      RC_ASSERT(copy.acceptor.state().fleet_name == "fleet" && asker.proposer.state().fleet_name == "fleet");
       // What the copy holds can be read again.
       RegisterAcceptor again(store_1);
       RC_ASSERT(again.restore({copy.picture()}).has_value());
--- a/packages/configuration-register/tests/register_bench.hpp
+++ b/packages/configuration-register/tests/register_bench.hpp
@@ -22,7 +22,7 @@
   explicit RegisterBench(std::uint64_t seed, std::size_t segment = 2000, const std::string& body = "")
       : random_(seed), segment_(segment) {
     FleetState state;
-    state.fleet = "bench";
+    state.fleet_name = "bench";
     state.version = 1;
     if (!body.empty())
       state.resources = {{"traffic", "current", 1, 1, body}};
@@ -31,9 +31,9 @@
       start(place(i));
       state.acceptors.push_back({copies_[place(i)].acceptor->store(), place(i)});
     }
-    founding_ = state;
+    bootstrap_ = state;
     for (auto& [address, copy] : copies_)
-      post(Address{"founder"}, address, Found{1, copy.acceptor->store(), {encode_state(state)}});
+      post(Address{"founder"}, address, BootstrapRequest{1, copy.acceptor->store(), {encode_state(state)}});
     settle(200);
   }
   static Address place(int i) { return Address{"core-" + std::to_string(i)}; }
@@ -41,7 +41,7 @@
   void add_proposer(const std::string& name) {
     proposers_.emplace(Address{name},
                        std::make_unique<RegisterProposer>(Address{name}, RandomGenerator(random_.next())));
-    proposers_.at(Address{name})->learn_acceptors(founding_.acceptors);
+    proposers_.at(Address{name})->learn_acceptors(bootstrap_.acceptors);
   }
   RegisterProposer& proposer(const std::string& name) { return *proposers_.at(Address{name}); }
 
@@ -51,11 +51,11 @@
     proposer(proposer_name)
         .change(
             [mark](const FleetState& state) -> Verdict {
-              for (const auto& done : state.done)
-                if (done.change == mark)
+              for (const auto& done : state.completed_changes)
+                if (done.change_id == mark)
                   return {Verdict::Kind::already_there, {}, ""};
               FleetState next = state;
-              next.done.push_back({mark, 0, 0});
+              next.completed_changes.push_back({mark, 0, 0});
               return {Verdict::Kind::apply, next, ""};
             },
             [this, mark](const ChangeEnd& end) {
@@ -65,7 +65,7 @@
                 refused_.insert(mark);
               }
             },
-            Moment{now_}, Span{4000});
+            TimePoint{now_}, Duration{4000});
   }
 
   void start(const Address& address) {
@@ -106,9 +106,9 @@
     } else {
       now_ += 5;
       for (auto& [address, proposer] : proposers_) {
-        proposer->on_timer(Moment{now_});
+        proposer->on_timer(TimePoint{now_});
         if (now_ % 150 == 0)
-          proposer->poll(Moment{now_}, "core", false);
+          proposer->poll(TimePoint{now_}, "core", false);
         collect(address);
       }
     }
@@ -133,19 +133,19 @@
           is_read = end.kind == ChangeEnd::Kind::committed;
           final_state = end.state;
         },
-        Moment{now_}, Span{100000});
+        TimePoint{now_}, Duration{100000});
     for (int i = 0; i < 20000 && !is_read; ++i)
       step(0, 0);
     ASSERT_TRUE(is_read) << "the register gives no answer any more";
     std::set<std::string> there;
-    for (const auto& done : final_state.done)
-      EXPECT_TRUE(there.insert(done.change).second) << done.change << " twice";
+    for (const auto& done : final_state.completed_changes)
+      EXPECT_TRUE(there.insert(done.change_id).second) << done.change_id << " twice";
     for (const auto& mark : acked)
       EXPECT_TRUE(there.count(mark)) << mark << " was acknowledged and is lost";
     for (const auto& mark : refused)
       EXPECT_FALSE(there.count(mark)) << mark << " was refused and is in force";
     // Linearizable: each value is the one before it and one mark more; so versions count the marks.
-    EXPECT_EQ(final_state.version, 1 + static_cast<Integer>(final_state.done.size()));
+    EXPECT_EQ(final_state.version, 1 + static_cast<std::int64_t>(final_state.completed_changes.size()));
   }
   std::size_t acked() const { return acked_.size(); }
   std::int64_t refused_messages() const {
@@ -182,7 +182,7 @@
   void deliver(const Letter& letter) {
     auto proposer = proposers_.find(letter.to);
     if (proposer != proposers_.end()) {
-      proposer->second->on_message(letter.from, letter.message, Moment{now_});
+      proposer->second->on_message(letter.from, letter.message, TimePoint{now_});
       collect(letter.to);
       return;
     }
@@ -190,8 +190,8 @@
     if (entry == copies_.end() || !entry->second.acceptor)
       return;
     Copy& copy = entry->second;
-    copy.acceptor->on_message(letter.from, letter.message, Moment{now_});
-    for (auto& write : copy.acceptor->take_writes()) {
+    copy.acceptor->on_message(letter.from, letter.message, TimePoint{now_});
+    for (auto& write : copy.acceptor->drain_writes()) {
       auto written = copy.log->append({write.record});
       if (written && copy.log->sync()) {
         copy.acceptor->synced(write.token);
@@ -207,17 +207,17 @@
         return;
       }
     }
-    for (auto& sending : copy.acceptor->take_out())
-      post(letter.to, sending.to, std::move(sending.message));
+    for (auto& outbound : copy.acceptor->drain_outbound())
+      post(letter.to, outbound.to, std::move(outbound.message));
   }
   void collect(const Address& address) {
-    for (auto& sending : proposers_.at(address)->take_out())
-      post(address, sending.to, std::move(sending.message));
+    for (auto& outbound : proposers_.at(address)->drain_outbound())
+      post(address, outbound.to, std::move(outbound.message));
   }
 
   RandomGenerator random_;
   std::size_t segment_;
-  FleetState founding_;
+  FleetState bootstrap_;
   std::map<Address, Copy> copies_;
   std::map<Address, std::unique_ptr<RegisterProposer>> proposers_;
   std::vector<Letter> net_;
--- a/packages/configuration-register/tests/stored_register_test.cpp
+++ b/packages/configuration-register/tests/stored_register_test.cpp
@@ -36,7 +36,7 @@
 const StoreId store{"store-1"};
 const Address first_proposer{"10.0.0.1:7000"};
 const Address second_proposer{"10.0.0.2:7000"};
-const Moment now{1000};
+const TimePoint now{1000};
 
 const Ballot whole_ballot{4, first_proposer};      // of the value that came whole
 const Ballot delta_ballot{6, first_proposer};      // of the newest value, which came as a delta
@@ -45,7 +45,7 @@
 
 FleetState founding_state() {
   FleetState state;
-  state.fleet = "fleet-1";
+  state.fleet_name = "fleet-1";
   state.version = 1;
   state.acceptors = {{store, first_proposer}, {StoreId{"store-2"}, second_proposer}};
   return state;
@@ -65,11 +65,11 @@
                   {Address{"10.0.0.3:7000"}, "10.0.0.3:8000", "data", ZoneName{"us-1"}, RegionName{"us"}, 77}};
   state.term = 5;
   state.master = first_proposer;
-  state.ack_wait = 1300;
+  state.acknowledgement_wait_ms = 1300;
   state.minimum_version = {4, 211};
   state.lease_roster = {first_proposer, second_proposer};
   state.next_acceptors = {{store, first_proposer}, {StoreId{"store-3"}, Address{"10.0.0.3:7000"}}};
-  state.done = {{"change-1", 40, 16, {content_digest_bytes("change-1")}}, {"change-2", 41, 17, {}}};
+  state.completed_changes = {{"change-1", 40, 16, {content_digest_bytes("change-1")}}, {"change-2", 41, 17, {}}};
   return state;
 }
 
@@ -78,7 +78,7 @@
   state.version = 42;
   state.config_revision = 18;
   state.resources[0] = {"serving-plans", "plan-1", 42, 18, R"({"model":"m2","regions":["eu"]})"};
-  state.done.push_back({"change-3", 42, 18, {content_digest_bytes("change-3")}});
+  state.completed_changes.push_back({"change-3", 42, 18, {content_digest_bytes("change-3")}});
   return state;
 }
 
@@ -102,12 +102,12 @@
   // Returns the answer, which leaves once the write is on disk.
   Message ask(const Address& from, const Message& message) {
     acceptor->on_message(from, message, now);
-    for (const WriteWish& wish : acceptor->take_writes()) {
-      value_of(log->append({wish.record}));
+    for (const LogWrite& log_write : acceptor->drain_writes()) {
+      value_of(log->append({log_write.record}));
       value_of(log->sync());
-      acceptor->synced(wish.token);
+      acceptor->synced(log_write.token);
     }
-    return acceptor->take_out().at(0).message;
+    return acceptor->drain_outbound().at(0).message;
   }
   void prepare(const Ballot& ballot) {
     auto answer = ask(ballot.proposer, Prepare{1, store, ballot, {}});
@@ -143,7 +143,7 @@
 void write_store(const fs::path& folder) {
   {
     StoredCopy copy(folder);
-    copy.ask(first_proposer, Found{1, store, {encode_state(founding_state())}});
+    copy.ask(first_proposer, BootstrapRequest{1, store, {encode_state(founding_state())}});
     copy.prepare(whole_ballot);
     copy.accept(whole_ballot, whole_state());
     const std::string covered = StoredCopy::value_of(copy.files->read("segment-1"));
@@ -209,7 +209,7 @@
   EXPECT_FALSE(copy.acceptor->is_blank());
   EXPECT_TRUE(copy.acceptor->accepted() == delta_ballot);
   const FleetState& state = copy.acceptor->state();
-  EXPECT_EQ(state.fleet, "fleet-1");
+  EXPECT_EQ(state.fleet_name, "fleet-1");
   EXPECT_EQ(state.version, 42);
   ASSERT_EQ(state.resources.size(), 3u);
   EXPECT_EQ(state.resources[0].body, R"({"model":"m2","regions":["eu"]})");
--- a/packages/configuration-register/tests/value_delta_test.cpp
+++ b/packages/configuration-register/tests/value_delta_test.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr Moment now{1000};
+constexpr TimePoint now{1000};
 constexpr int route_count = 1400;
 
 std::string route(int number, std::int64_t horizon_ms = 8000) {
@@ -24,20 +24,20 @@
 }
 
 // The text of a traffic table, as long as a real one of that many routes.
-std::string table_text(Integer revision, int changed_route = -1) {
+std::string table_text(std::int64_t revision, int changed_route = -1) {
   std::string text = R"({"document":{"revision":)" + std::to_string(revision) + R"(,"routes":[)";
   for (int i = 0; i < route_count; ++i)
     text += (i == 0 ? "" : ",") + route(i, i == changed_route ? 9000 + revision : 8000);
   text += R"(]},"taken":[)";
-  for (Integer i = std::max<Integer>(1, revision - 127); i <= revision; ++i)
+  for (std::int64_t i = std::max<std::int64_t>(1, revision - 127); i <= revision; ++i)
     text += (text.back() == '[' ? "" : ",") + std::string(R"({"digest":")") + content_digest(std::to_string(i)) +
             R"(","revision":)" + std::to_string(i) + "}";
   return text + "]}";
 }
 
-FleetState state_of(Integer revision, int changed_route = -1) {
+FleetState state_of(std::int64_t revision, int changed_route = -1) {
   FleetState state;
-  state.fleet = "fleet";
+  state.fleet_name = "fleet";
   state.version = 1;
   for (const char* name : {"1", "2", "3"})
     state.acceptors.push_back({StoreId{std::string("s") + name}, Address{std::string("core-") + name}});
@@ -60,9 +60,9 @@
   }
   void found(const FleetState& state) {
     for (auto& [address, copy] : copies_)
-      tell(address, Message{Found{1, copy.store(), {encode_state(state)}}});
+      tell(address, Message{BootstrapRequest{1, copy.store(), {encode_state(state)}}});
   }
-  void change_to(Integer revision, int changed_route) {
+  void change_to(std::int64_t revision, int changed_route) {
     bool is_done = false;
     proposer.change(
         [&](const FleetState& state) {
@@ -70,32 +70,33 @@
           next.resources[0] = {"traffic", "current", revision, revision, table_text(revision, changed_route)};
           return Verdict{Verdict::Kind::apply, next, ""};
         },
-        [&](const ChangeEnd& end) { is_done = end.kind == ChangeEnd::Kind::committed; }, now, Span{4000});
+        [&](const ChangeEnd& end) { is_done = end.kind == ChangeEnd::Kind::committed; }, now, Duration{4000});
     run();
     EXPECT_TRUE(is_done);
   }
   void run() { run(proposer, Address{"leader"}); }
   void run(RegisterProposer& asker, const Address& self) {
-    for (auto sendings = asker.take_out(); !sendings.empty(); sendings = asker.take_out())
-      for (auto& sending : sendings) {
-        if (down.count(sending.to) != 0)
+    for (auto messages = asker.drain_outbound(); !messages.empty(); messages = asker.drain_outbound())
+      for (auto& outbound : messages) {
+        if (down.count(outbound.to) != 0)
           continue;
-        bytes += encode_message(sending.message).size();
-        for (auto& answer : tell(sending.to, sending.message, self)) {
+        bytes += encode_message(outbound.message).size();
+        for (auto& answer : tell(outbound.to, outbound.message, self)) {
           bytes += encode_message(answer.message).size();
-          asker.on_message(sending.to, answer.message, now);
+          asker.on_message(outbound.to, answer.message, now);
         }
       }
   }
-  std::vector<Sending> tell(const Address& to, const Message& message, const Address& from = Address{"leader"}) {
+  std::vector<OutboundMessage> tell(const Address& to, const Message& message,
+                                    const Address& from = Address{"leader"}) {
     RegisterAcceptor& copy = copies_.at(to);
     copy.on_message(from, message, now);
-    for (auto& wish : copy.take_writes())
-      copy.synced(wish.token);
-    return copy.take_out();
+    for (auto& write : copy.drain_writes())
+      copy.synced(write.token);
+    return copy.drain_outbound();
   }
   RegisterAcceptor& copy(const std::string& address) { return copies_.at(Address{address}); }
-  void expect_all_hold(Integer revision) {
+  void expect_all_hold(std::int64_t revision) {
     for (auto& [address, copy] : copies_) {
       EXPECT_EQ(copy.state().resources.at(0).version, revision) << address;
       EXPECT_EQ(copy.picture(), copies_.begin()->second.picture()) << address;
@@ -140,7 +141,7 @@
   EXPECT_EQ(cluster.proposer.counts().deltas, 3);
   EXPECT_LT(cluster.bytes * 50, whole * 3);  // two rounds with three copies, against three whole values
   std::size_t bytes = cluster.bytes;
-  for (Integer revision = 3; revision <= 150; ++revision)
+  for (std::int64_t revision = 3; revision <= 150; ++revision)
     cluster.change_to(revision, static_cast<int>(revision * 7));
   cluster.expect_all_hold(150);
   RecordProperty("whole_value_bytes", static_cast<int>(whole));
@@ -179,7 +180,7 @@
     auto out = cluster.tell(Address{"core-1"}, bad);
     ASSERT_EQ(out.size(), 1u);
     EXPECT_FALSE(std::get<Accepted>(out[0].message).granted);
-    EXPECT_TRUE(std::get<Accepted>(out[0].message).needs_whole);
+    EXPECT_TRUE(std::get<Accepted>(out[0].message).needs_full_value);
     EXPECT_EQ(copy.picture(), before);
   }
   EXPECT_TRUE(std::get<Accepted>(cluster.tell(Address{"core-1"}, accept).at(0).message).granted);
--- a/packages/control-plane/include/emberdale/core_founder.hpp
+++ b/packages/control-plane/include/emberdale/cluster_bootstrapper.hpp
@@ -13,20 +13,20 @@
 namespace emberdale {
 
 // Example:
-//   CoreFounder founder(proposer, journal, self, seeds, Dice(1)); founder.start(now);
-//   founder.on_message(from, message, now); founder.on_timer(now); for (auto& s : founder.take_out()) send(s);
-class CoreFounder {
+//   ClusterBootstrapper founder(proposer, journal, self, seeds, Dice(1)); founder.start(now);
+//   founder.on_message(from, message, now); founder.on_timer(now); for (auto& s : founder.drain_outbound()) send(s);
+class ClusterBootstrapper {
  public:
-  CoreFounder(RegisterProposer& proposer, EventJournal& journal, Address self, std::vector<Address> seeds,
-              RandomGenerator random);
+  ClusterBootstrapper(RegisterProposer& proposer, EventJournal& journal, Address self, std::vector<Address> seeds,
+                      RandomGenerator random);
 
   // Begins if this daemon is the smallest of the seeds; else it does nothing, ever. Example: founder.start(now)
-  void start(Moment now);
-  void on_message(const Address& from, const Message& message, Moment now);
-  void on_timer(Moment now);
-  std::vector<Sending> take_out() { return std::exchange(out_, {}); }
-  // True once, when a majority holds the founding. Example: if (founder.take_founded()) poll();
-  bool take_founded() { return std::exchange(was_founded_, false); }
+  void start(TimePoint now);
+  void on_message(const Address& from, const Message& message, TimePoint now);
+  void on_timer(TimePoint now);
+  std::vector<OutboundMessage> drain_outbound() { return std::exchange(out_, {}); }
+  // True once, when a majority holds the founding. Example: if (founder.drain_bootstrapped()) poll();
+  bool drain_bootstrapped() { return std::exchange(was_bootstrapped_, false); }
   // Still asking, or carrying the founding to the last seed. Example: founder.is_at_work()
   bool is_at_work() const { return phase_ == Phase::asking || phase_ == Phase::founding; }
 
@@ -34,27 +34,27 @@
   enum class Phase { idle, asking, founding, over };
   struct Blank {
     StoreId store;
-    Moment heard;
+    TimePoint heard;
   };
-  void on_read(const Address& from, const ReadAnswer& answer, Moment now);
-  void on_founded(const FoundAnswer& answer, Moment now);
-  void begin_founding(Moment now);
-  void send_found();
+  void on_read(const Address& from, const ReadResponse& response, TimePoint now);
+  void on_bootstrapped(const BootstrapResponse& response, TimePoint now);
+  void begin_bootstrap(TimePoint now);
+  void send_bootstrap_request();
 
   RegisterProposer& proposer_;
   EventJournal& journal_;
   Address self_;
   std::set<Address> seeds_;
   RandomGenerator random_;
-  Integer ask_;
+  std::int64_t ask_;
   Phase phase_ = Phase::idle;
   std::map<Address, Blank> blanks_;
   std::vector<AcceptorEntry> acceptors_;  // as founded
   std::set<StoreId> granted_, answered_;
   Bytes value_;
-  bool was_founded_ = false;
-  Moment started_, ask_next_;
-  std::vector<Sending> out_;
+  bool was_bootstrapped_ = false;
+  TimePoint started_, request_next_;
+  std::vector<OutboundMessage> out_;
 };
 
 }  // namespace emberdale
--- a/packages/control-plane/include/emberdale/edit_batch.hpp
+++ b/packages/control-plane/include/emberdale/edit_batch.hpp
@@ -13,7 +13,7 @@
 inline constexpr const char* ensure_act = "ensure";
 
 struct WorkedOutEdit {
-  EditAsk ask;
+  EditRequest request;
   EditResult result;  // its own verdict; without the resources, which are in the state
 };
 
--- a/packages/control-plane/include/emberdale/edit_forwarder.hpp
+++ b/packages/control-plane/include/emberdale/edit_forwarder.hpp
@@ -13,66 +13,66 @@
 
 namespace emberdale {
 
-using EditDone = std::function<void(const EditAnswer&)>;
+using EditDone = std::function<void(const EditResponse&)>;
 
 // {"reason": .., "outcome": ..}. Example: reason_body("no majority", "refused")
 std::string reason_body(const std::string& reason, const std::string& outcome);
 
 // What an edit in hand would take away from a runner or a zone: passed on while it waits, for a while.
-struct PassedHold {
-  std::optional<Hold> hold;
-  Moment next, until;
-  Integer version = 0;  // of the resource when it was asked: once that has moved, the map alone speaks
-  bool is_over(Moment now) const { return until.value > 0 && until <= now; }
+struct ForwardedBlock {
+  std::optional<DispatchBlock> block;
+  TimePoint next, until;
+  std::int64_t version = 0;  // of the resource when it was asked: once that has moved, the map alone speaks
+  bool is_over(TimePoint now) const { return until.value > 0 && until <= now; }
   // Whether to pass it on now. Example: if (passed.is_due(version_of(ask), now)) pass(*passed.hold);
-  bool is_due(Integer current_version, Moment now);
+  bool is_due(std::int64_t current_version, TimePoint now);
 };
 
-// Example: hold_of(ask, 3, now).hold->runner.text == "m1" for a patch {"leaving": true} of runner m1
-PassedHold hold_of(const EditAsk& ask, Integer version, Moment now);
+// Example: block_of(ask, 3, now).hold->runner.text == "m1" for a patch {"leaving": true} of runner m1
+ForwardedBlock block_of(const EditRequest& request, std::int64_t version, TimePoint now);
 
 // Example:
 //   EditForwarder forwarder; forwarder.take(ask, done, hold, now);
 //   for (auto& s : forwarder.send(master, term, now)) links.send(s.to, s.message);   // again and again
-//   forwarder.on_answer(answer, now); forwarder.on_timer(now);                        // done comes exactly once
+//   forwarder.on_response(answer, now); forwarder.on_timer(now);                        // done comes exactly once
 class EditForwarder {
  public:
   struct Waiting {
-    EditAsk ask;
+    EditRequest request;
     EditDone done;
-    PassedHold hold;
-    Moment taken_at, deadline, send_next;
+    ForwardedBlock block;
+    TimePoint taken_at, deadline, send_next;
     // Copies that are out and that nobody has answered, by the term they are for.
-    std::map<Integer, int> copies;
+    std::map<std::int64_t, int> copies;
   };
   explicit EditForwarder(EditTimes times = {}) : times_(times) {}
-  void take(EditAsk ask, EditDone done, PassedHold hold, Moment now);
+  void take(EditRequest request, EditDone done, ForwardedBlock block, TimePoint now);
   // Hands every waiting edit to the master of that term. An ask or its answer may get lost: it is sent again,
   // and a master that has answered says the same again. An edit that is bound by its age is sent no more once that is
   // over. `stamp`: the newest known of that master's clock in that term, 0: none.
-  std::vector<Sending> send(const Address& master, Integer term, Moment now, Integer stamp = 0);
+  std::vector<OutboundMessage> send(const Address& master, std::int64_t term, TimePoint now, std::int64_t stamp = 0);
   // This daemon has become master: it does them itself, but for those that are too old, of which a copy may be done
   // still. Example: for (auto& mine : forwarder.take_back(now)) ...
-  std::vector<Waiting> take_back(Moment now);
-  // True when an edit ended: its hold may have to be lifted. Example: if (auto ended = forwarder.on_answer(answer,
+  std::vector<Waiting> take_back(TimePoint now);
+  // True when an edit ended: its hold may have to be lifted. Example: if (auto ended = forwarder.on_response(answer,
   // now)) ...
-  std::optional<Waiting> on_answer(const EditAnswer& answer, Moment now);
+  std::optional<Waiting> on_response(const EditResponse& response, TimePoint now);
   // Those whose time is over have been answered: refused where no copy can be done any more, else unknown.
-  std::vector<std::pair<Waiting, EditAnswer>> on_timer(Moment now);
+  std::vector<std::pair<Waiting, EditResponse>> on_timer(TimePoint now);
   // This daemon ends: all that waits is answered, refused where no copy is out, else unknown.
-  std::vector<std::pair<Waiting, EditAnswer>> end_all();
-  std::map<Integer, Waiting>& waiting() { return waiting_; }
+  std::vector<std::pair<Waiting, EditResponse>> end_all();
+  std::map<std::int64_t, Waiting>& waiting() { return waiting_; }
 
  private:
-  bool is_too_old(const Waiting& edit, Moment now) const {
-    return is_bound_by_age(edit.ask) && now - edit.taken_at >= times_.asker_patience;
+  bool is_too_old(const Waiting& edit, TimePoint now) const {
+    return is_bound_by_age(edit.request) && now - edit.taken_at >= times_.requester_timeout;
   }
 
-  std::pair<Waiting, EditAnswer> ended_without_answer(Waiting edit) const;
+  std::pair<Waiting, EditResponse> ended_without_answer(Waiting edit) const;
 
   EditTimes times_;
-  Integer stamp_ = 0, stamp_term_ = -1;  // the newest that a master has answered a copy with
-  std::map<Integer, Waiting> waiting_;   // by ask
+  std::int64_t stamp_ = 0, stamp_term_ = -1;  // the newest that a master has answered a copy with
+  std::map<std::int64_t, Waiting> waiting_;   // by ask
 };
 
 }  // namespace emberdale
--- a/packages/control-plane/include/emberdale/leader_lease.hpp
+++ b/packages/control-plane/include/emberdale/leader_lease.hpp
@@ -24,16 +24,18 @@
   static FleetState claimed(const FleetState& state, const TermClaim& claim, const Address& self, bool is_promise_off,
                             bool is_at_once = false);
 
-  void begin(Moment now);
-  Moment leading_since() const { return leading_since_; }
+  void begin(TimePoint now);
+  TimePoint leading_since() const { return leading_since_; }
   // How old this term must be before it acknowledges. Example: if (now - word.leading_since() < word.ack_wait()) ...
-  Span ack_wait() const { return Span{is_wait_off || !proposer_.has_state() ? 0 : proposer_.state().ack_wait}; }
-  bool is_waiting(Moment now) const { return now - leading_since_ < ack_wait(); }
+  Duration ack_wait() const {
+    return Duration{is_wait_off || !proposer_.has_state() ? 0 : proposer_.state().acknowledgement_wait_ms};
+  }
+  bool is_waiting(TimePoint now) const { return now - leading_since_ < ack_wait(); }
   // Whether this term was in force at a majority of the core not too long ago, and a majority of the word's
   // roster, as the register has it and as it was last tried to be written, follows still.
-  bool may_grant_lease(Moment now) const;
+  bool may_grant_lease(TimePoint now) const;
   // Keeps the word's roster at the fleet's, and ends a long wait that is over. Example: word.keep(now)
-  void keep(Moment now);
+  void keep(TimePoint now);
 
   // No edit waits: for deployments whose data daemons serve on without grants (and a guard that a test takes out).
   bool is_wait_off = false;
@@ -46,7 +48,7 @@
   RegisterProposer& proposer_;
   const MasterElection& election_;
   Address self_;
-  Moment leading_since_{-100000}, keep_next_;
+  TimePoint leading_since_{-100000}, keep_next_;
   std::vector<Address> tried_roster_;  // the last that this master tried to write
   bool is_writing_ = false;
 };
--- a/packages/control-plane/include/emberdale/master_edits.hpp
+++ b/packages/control-plane/include/emberdale/master_edits.hpp
@@ -25,14 +25,14 @@
 class MasterEdits {
  public:
   struct Edit {
-    EditAsk ask;
+    EditRequest request;
     Address from;  // empty: asked here
     EditDone done;
-    PassedHold hold;
+    ForwardedBlock block;
     bool has_copies = false;  // elder masters were handed it too, and have not answered
-    Moment deadline;
+    TimePoint deadline;
     MapVersion covered_by;
-    EditAnswer answer;
+    EditResponse response;
     bool is_committed = false;
   };
   MasterEdits(RegisterProposer& proposer, const MasterElection& election, const LeaderLease& lease,
@@ -41,16 +41,17 @@
 
   void begin();
   // An edit asked here, or handed over; asked again, it is answered as before. Example: edits.take(edit, now)
-  void take(Edit edit, Moment now);
+  void take(Edit edit, TimePoint now);
   // Whether a change is in hand, or was answered in this term. Example: if (!edits.knows(ask.change)) check_age(ask);
   bool knows(const std::string& change) const;
-  void run(const MapVersion& map_version, Moment now);
+  void run(const MapVersion& map_version, TimePoint now);
   // `holders`: how many of the roster hold a map that covers a version, this daemon among them.
-  void settle(const MapVersion& map_version, const std::function<std::size_t(const MapVersion&)>& holders, Moment now);
+  void settle(const MapVersion& map_version, const std::function<std::size_t(const MapVersion&)>& holders,
+              TimePoint now);
   // This daemon ends: what has not begun is refused, what may be durable is unknown. Example: edits.end_all()
   void end_all();
   // What an unknown outcome left open is read back. Example: edits.on_timer(now)
-  void on_timer(Moment now);
+  void on_timer(TimePoint now);
   // While an edit's two rounds or its unknown outcome are open, no map may take a number.
   bool is_open() const { return is_in_flight_ || is_outcome_open_; }
   // The highest minimum version that this term ever tried to write: its number stands for that edit alone.
@@ -60,7 +61,7 @@
   // Those that ended, each with its answer. Example: for (auto& edit : edits.take_ended()) send(edit.answer)
   std::vector<Edit> take_ended() { return std::exchange(ended_, {}); }
   struct Counts {
-    std::int64_t edits = 0, writes = 0, unknown = 0, doubled_ids = 0;
+    std::int64_t edits = 0, writes = 0, unknown = 0, conflicting_ids = 0;
   };
   const Counts& counts() const { return counts_; }
 
@@ -69,14 +70,14 @@
   // What was answered to an order, and which one it was.
   struct Answered {
     Bytes digest;
-    EditAnswer answer;
+    EditResponse response;
   };
-  void count_doubled_id(const Edit& edit, Moment now);
-  void refuse_doubled_id(Edit edit, Moment now);
-  void end(std::size_t at, EditAnswer answer);
+  void count_conflicting_id(const Edit& edit, TimePoint now);
+  void refuse_conflicting_id(Edit edit, TimePoint now);
+  void end(std::size_t at, EditResponse response);
   EditBatch next_batch() const;
-  void on_change_end(const EditBatch& batch, const ChangeEnd& ended, Moment now);
-  void commit(Edit& edit, const EditResult& result, const FleetState& state, Moment now);
+  void on_change_end(const EditBatch& batch, const ChangeEnd& ended, TimePoint now);
+  void commit(Edit& edit, const EditResult& result, const FleetState& state, TimePoint now);
 
   RegisterProposer& proposer_;
   const MasterElection& election_;
--- a/packages/control-plane/include/emberdale/runner_watch.hpp
+++ b/packages/control-plane/include/emberdale/runner_health_monitor.hpp
@@ -10,34 +10,34 @@
 
 namespace emberdale {
 
-struct ProbeWish {
+struct ProbeRequest {
   RunnerName runner;
   std::string http;
   PoolName pool;
 };
 
 // Example:
-//   RunnerWatch watch(self); watch.wish_probes(configuration, live_edges_of_my_zone, is_master, now);
+//   RunnerHealthMonitor watch(self); watch.schedule_probes(configuration, live_edges_of_my_zone, is_master, now);
 //   if (watch.on_probe(status, now)) report(); watch.statuses()
-class RunnerWatch {
+class RunnerHealthMonitor {
  public:
-  static constexpr Span status_span{1500};  // a status older than this is nobody's word any more
-  explicit RunnerWatch(DaemonEntry self, Span probe_pace = Span{400})
+  static constexpr Duration status_lifetime{1500};  // a status older than this is nobody's word any more
+  explicit RunnerHealthMonitor(DaemonEntry self, Duration probe_pace = Duration{400})
       : self_(std::move(self)), probe_pace_(probe_pace) {}
 
   // Each service's home in a zone is the first of its living edge daemons by rendezvous; it probes the service's
   // runners there. A master looks itself where no home reports.
-  void wish_probes(const Configuration& configuration, const std::vector<std::string>& live_edges, bool is_master,
-                   Moment now);
-  std::vector<ProbeWish> take_probes() { return std::exchange(probes_, {}); }
-  // True when it says something new. Example: if (watch.on_probe(status, now)) send_follow(now);
-  bool on_probe(const RunnerStatus& status, Moment now);
+  void schedule_probes(const Configuration& configuration, const std::vector<std::string>& live_edges, bool is_master,
+                       TimePoint now);
+  std::vector<ProbeRequest> drain_probes() { return std::exchange(probes_, {}); }
+  // True when it says something new. Example: if (watch.on_probe(status, now)) send_heartbeat(now);
+  bool on_probe(const RunnerStatus& status, TimePoint now);
   // A home's report, at the master. Example: for (auto& status : follow.statuses) watch.on_report(status, now);
-  void on_report(const RunnerStatus& status, Moment now);
+  void on_report(const RunnerStatus& status, TimePoint now);
   // This daemon's probes, with their age, for its master. Example: follow.statuses = watch.reports(now);
-  std::vector<RunnerStatus> reports(Moment now) const;
+  std::vector<RunnerStatus> reports(TimePoint now) const;
   // A term begins: what the old map says stands until the homes report. Example: watch.inherit(map, now)
-  void inherit(const PlacementMap& map, Moment now);
+  void inherit(const PlacementMap& map, TimePoint now);
   // By name, as the map is worked out from. Example: compute_map(state, configuration, watch.statuses(), ...)
   std::map<RunnerName, RunnerStatus> statuses() const;
   std::int64_t probes_made() const { return probes_made_; }
@@ -45,13 +45,13 @@
  private:
   struct View {
     RunnerStatus status;
-    Moment at;
+    TimePoint at;
   };
   DaemonEntry self_;
-  Span probe_pace_;
+  Duration probe_pace_;
   std::map<RunnerName, View> known_, own_;
-  std::map<RunnerName, Moment> next_;
-  std::vector<ProbeWish> probes_;
+  std::map<RunnerName, TimePoint> next_;
+  std::vector<ProbeRequest> probes_;
   std::int64_t probes_made_ = 0;
 };
 
--- a/packages/control-plane/include/emberdale/runner_list.hpp
+++ b/packages/control-plane/include/emberdale/runner_list.hpp
@@ -7,8 +7,8 @@
 
 #include "emberdale/messages.hpp"
 #include "emberdale/placement_map.hpp"
-#include "emberdale/runner_watch.hpp"
-#include "emberdale/traffic_table.hpp"
+#include "emberdale/routing_table.hpp"
+#include "emberdale/runner_health_monitor.hpp"
 
 namespace emberdale {
 
@@ -19,9 +19,9 @@
   PoolName pool;
   ZoneName zone;
   RegionName region;
-  Integer slots = 0;
+  std::int64_t slots = 0;
   bool is_leaving = false;
-  Span cold_left{0};
+  Duration warmup_left{0};
 };
 
 // Example:
@@ -29,37 +29,37 @@
 //   list.take(runners, begun, now);  list.entries();  list.fill(statuses, pools, now);
 class RunnerList {
  public:
-  static constexpr Span read_pace{900};
+  static constexpr Duration read_pace{900};
   // The list is this far behind at most: what it says of a zone taken back counts from then on.
-  static constexpr Span lag_allowed{1500};
+  static constexpr Duration lag_allowed{1500};
 
   // True when the list is to be read (again). Example: if (list.is_read_due(now)) wish_read();
-  bool is_read_due(Moment now);
+  bool is_read_due(TimePoint now);
   // A whole list, whose reading began at `begun`. An empty one is believed only the third time in a row.
   // Example: list.take(runners, begun, now)
-  void take(std::vector<ListedRunner> runners, Moment begun, Moment now);
+  void take(std::vector<ListedRunner> runners, TimePoint begun, TimePoint now);
   void failed() { is_reading_ = false; }
   bool is_known() const { return is_known_; }
   // For the map, beside the runners that operators declare. Example: configuration.runners = list.entries();
   std::vector<RunnerEntry> entries() const;
   // What the list adds to the homes' probes: who is cold, slots, what a cold one bears a second.
   // Example: auto statuses = watch.statuses(); list.fill(statuses, pools, now);
-  void fill(std::map<RunnerName, RunnerStatus>& statuses, const std::map<PoolName, TrafficPool>& pools,
-            Moment now) const;
+  void fill(std::map<RunnerName, RunnerStatus>& statuses, const std::map<PoolName, RoutePool>& pools,
+            TimePoint now) const;
   // Work may go to the zone again: its runners count as cold until the list has caught up.
   // Example: list.zone_taken_back({"a"}, now)
-  void zone_taken_back(const ZoneName& zone, Moment now) { taken_back_[zone] = now; }
+  void zone_taken_back(const ZoneName& zone, TimePoint now) { taken_back_[zone] = now; }
   // A term begins: nothing is known, and the list is read at once. Example: list.begin(now)
-  void begin(Moment now);
+  void begin(TimePoint now);
 
  private:
   struct Listed {
     ListedRunner runner;
-    Moment cold_until, listed;
+    TimePoint warming_up_until, listed;
   };
   std::map<RunnerName, Listed> runners_;
-  std::map<ZoneName, Moment> taken_back_;
-  Moment read_next_, read_until_;
+  std::map<ZoneName, TimePoint> taken_back_;
+  TimePoint read_next_, read_until_;
   bool is_reading_ = false, is_known_ = false;
   int empty_lists_ = 0;
 };
--- a/packages/control-plane/src/control_daemon.cpp
+++ b/packages/control-plane/src/control_daemon.cpp
@@ -6,16 +6,16 @@
 namespace emberdale {
 namespace {
 
-constexpr Span gossip_pace{500};
-constexpr Span hand_over_poll_pace{50};
-constexpr Span gateway_memory{600000};
+constexpr Duration gossip_pace{500};
+constexpr Duration hand_over_poll_pace{50};
+constexpr Duration gateway_memory{600000};
 
 }  // namespace
 
 ControlDaemon::ControlDaemon(ControlDaemonSettings settings, std::unique_ptr<RegisterAcceptor> acceptor)
     : settings_(std::move(settings)),
       random_(settings_.random_seed),
-      last_ask_(first_ask(random_)),
+      last_request_id_(first_request_id(random_)),
       acceptor_(std::move(acceptor)),
       proposer_(settings_.self.address, RandomGenerator(settings_.random_seed + 1)),
       election_(settings_.self, RandomGenerator(settings_.random_seed + 2), settings_.election),
@@ -23,31 +23,31 @@
       edits_(proposer_, election_, lease_, journal_, settings_.self.address),
       forwarder_(settings_.edit_times),
       reconciler_(proposer_, settings_.self, settings_.membership, RandomGenerator(settings_.random_seed + 5)),
-      founder_(proposer_, journal_, settings_.self.address, settings_.seeds,
-               RandomGenerator(settings_.random_seed + 6)),
-      core_set_(proposer_, journal_, settings_.self.role, acceptor_ != nullptr,
-                RandomGenerator(settings_.random_seed + 3)),
-      roster_keeper_(proposer_, journal_, settings_.self, RandomGenerator(settings_.random_seed + 4),
-                     settings_.dead_member_span),
-      runner_watch_(settings_.self, settings_.probe_pace) {
+      bootstrapper_(proposer_, journal_, settings_.self.address, settings_.seeds,
+                    RandomGenerator(settings_.random_seed + 6)),
+      replica_set_manager_(proposer_, journal_, settings_.self.role, acceptor_ != nullptr,
+                           RandomGenerator(settings_.random_seed + 3)),
+      membership_registry_(proposer_, journal_, settings_.self, RandomGenerator(settings_.random_seed + 4),
+                           settings_.dead_member_timeout),
+      runner_health_monitor_(settings_.self, settings_.probe_pace) {
   lease_.is_wait_off = settings_.acknowledges_at_once;
   if (settings_.reconciles_membership)
-    core_set_.set_reconciler(reconciler_);
+    replica_set_manager_.set_reconciler(reconciler_);
 }
 
-void ControlDaemon::start(Moment now) {
+void ControlDaemon::start(TimePoint now) {
   for (const auto& seed : settings_.seeds)
     if (seed != settings_.self.address)
       known_[seed].entry.address = seed;
   if (acceptor_ && !acceptor_->is_blank())
     proposer_.learn_acceptors(acceptor_->state().acceptors);
-  poll_next_ = gossip_next_ = follow_next_ = started_at_ = active_at_ = now;
+  poll_next_ = gossip_next_ = heartbeat_next_ = started_at_ = active_at_ = now;
   pauses_.start(now);
   reconciler_.start(now);
-  core_set_.start(now);
-  if (settings_.founds_itself && (!acceptor_ || acceptor_->is_blank()))
-    founder_.start(now);
-  roster_keeper_.start(now);
+  replica_set_manager_.start(now);
+  if (settings_.bootstraps_itself && (!acceptor_ || acceptor_->is_blank()))
+    bootstrapper_.start(now);
+  membership_registry_.start(now);
   if (is_edge()) {
     for (const auto& seed : settings_.seeds)
       election_.learn(seed);
@@ -56,7 +56,7 @@
   on_timer(now);
 }
 
-void ControlDaemon::stop(Moment now) {
+void ControlDaemon::stop(TimePoint now) {
   if (is_stopping_)
     return;
   is_stopping_ = true;
@@ -66,17 +66,17 @@
     reconcile_membership(now);
     is_handing_over_ = is_replica() && reconciler_.is_handing_over(now);
     hand_over_end_ = now + settings_.hand_over_patience;
-    core_set_.hurry();
+    replica_set_manager_.hurry();
   }
   if (is_handing_over_)
-    core_set_.on_timer(now);
+    replica_set_manager_.on_timer(now);
   else
     take_leave(now);
   collect(now);
 }
 
 // The place in the set is handed over first, and the term is laid down then: a master leads on meanwhile.
-void ControlDaemon::continue_stopping(Moment now) {
+void ControlDaemon::continue_stopping(TimePoint now) {
   if (!is_handing_over_)
     return;
   if (hand_over_end_ > now && reconciler_.is_handing_over(now)) {
@@ -89,7 +89,7 @@
   take_leave(now);
 }
 
-void ControlDaemon::take_leave(Moment now) {
+void ControlDaemon::take_leave(TimePoint now) {
   if (election_.is_master() && !lease_.is_waiting(now)) {
     // Lays the term down in the register: the next master need not wait for this one's word to lapse.
     Address self = settings_.self.address;
@@ -101,15 +101,15 @@
           next.master = Address{};
           return {Verdict::Kind::apply, next, ""};
         },
-        nullptr, now, Span{1000});
+        nullptr, now, Duration{1000});
   }
   if (is_edge())
     election_.leave();
 }
 
-void ControlDaemon::answer_all(Moment now) {
+void ControlDaemon::answer_all(TimePoint now) {
   for (auto& [ended, answer] : forwarder_.end_all())
-    lift_hold(ended.hold, answer);
+    lift_block(ended.block, answer);
   edits_.end_all();
   end_edits();
   end_waiting([](const Waiting&) { return true; }, now);
@@ -124,7 +124,7 @@
   return entries;
 }
 
-void ControlDaemon::on_timer(Moment now) {
+void ControlDaemon::on_timer(TimePoint now) {
   pauses_.on_timer(now);
   notice_pause(now);
   proposer_.on_timer(now);
@@ -135,40 +135,41 @@
   gossip(now);
   if (acceptor_ && !acceptor_->is_blank() && proposer_.acceptors().empty())
     proposer_.learn_acceptors(acceptor_->state().acceptors);
-  see_state(now);
+  refresh_state(now);
   if (is_edge())
     keep_roster(now);
-  founder_.on_timer(now);
+  bootstrapper_.on_timer(now);
   if (settings_.reconciles_membership)
     reconcile_membership(now);
-  core_set_.on_timer(now);
+  replica_set_manager_.on_timer(now);
   continue_stopping(now);
-  if (is_edge() && follow_next_ <= now)
-    send_follow(now);
+  if (is_edge() && heartbeat_next_ <= now)
+    send_heartbeat(now);
   hear_master(now);
-  slices_.forget_silent(now, Span{10000});
+  slices_.forget_silent(now, Duration{10000});
   if (is_edge())
-    runner_watch_.wish_probes(placed_configuration(), live_edges(settings_.self.zone, now), election_.is_master(), now);
+    runner_health_monitor_.schedule_probes(placed_configuration(), live_edges(settings_.self.zone, now),
+                                           election_.is_master(), now);
   if (election_.is_master())
     lead(now);
   settle_edits(now);
-  pass_holds(now);
+  forward_blocks(now);
   forward_edits(now);
   for (auto& [ended, answer] : forwarder_.on_timer(now))
-    lift_hold(ended.hold, answer);
+    lift_block(ended.block, answer);
   expire_waiting(now);
   collect(now);
 }
 
 // Tells some peers of this daemon: the seeds until a register is known, else two at random.
-void ControlDaemon::gossip(Moment now) {
+void ControlDaemon::gossip(TimePoint now) {
   if (now < gossip_next_)
     return;
   gossip_next_ = now + gossip_pace;
   std::vector<Address> others;
   std::set<Address> targets;
   for (const auto& [address, known] : known_) {
-    if (now - known.heard > Span{60000} && known.heard.value >= 0 &&
+    if (now - known.heard > Duration{60000} && known.heard.value >= 0 &&
         std::find(settings_.seeds.begin(), settings_.seeds.end(), address) == settings_.seeds.end())
       continue;
     bool is_seed = std::find(settings_.seeds.begin(), settings_.seeds.end(), address) != settings_.seeds.end();
@@ -195,15 +196,15 @@
   if (is_edge() && !missed.empty())
     targets.insert(missed[static_cast<std::size_t>(random_.below(static_cast<std::int64_t>(missed.size())))]);
   for (const auto& target : targets)
-    out_.push_back({target, Ping{0, settings_.self, election_.master(), map_.version}});
+    out_.push_back({target, PingRequest{0, settings_.self, election_.master(), map_.version}});
 }
 
 // What the master does beside following none: collects what is in force, publishes, works edits out.
-void ControlDaemon::lead(Moment now) {
+void ControlDaemon::lead(TimePoint now) {
   for (const auto& report : slices_.in_force(now))
     take_report(report, now);
   for (auto entry = in_force_.begin(); entry != in_force_.end();) {
-    if (now - entry->second.second > Span{15000})
+    if (now - entry->second.second > Duration{15000})
       entry = in_force_.erase(entry);
     else
       ++entry;
@@ -217,67 +218,67 @@
 }
 
 // Views and reads whose time is over end without an answer from others.
-void ControlDaemon::expire_waiting(Moment now) {
+void ControlDaemon::expire_waiting(TimePoint now) {
   end_waiting([now](const Waiting& waiting) { return waiting.deadline <= now; }, now);
 }
 
-void ControlDaemon::end_waiting(const std::function<bool(const Waiting&)>& is_over, Moment now) {
+void ControlDaemon::end_waiting(const std::function<bool(const Waiting&)>& is_over, TimePoint now) {
   for (auto entry = waiting_.begin(); entry != waiting_.end();) {
     if (!is_over(entry->second)) {
       ++entry;
       continue;
     }
     Waiting ended = std::move(entry->second);
-    Integer ask = entry->first;
+    std::int64_t ask = entry->first;
     entry = waiting_.erase(entry);
     if (ended.view)
-      ended.view(ViewAnswer{ask, false, false, map_, in_force(now)});
+      ended.view(ViewResponse{ask, false, false, map_, in_force(now)});
     if (ended.read)
       ended.read(nullptr);
   }
 }
 
-void ControlDaemon::collect(Moment now) {
-  if (auto claim = election_.take_claim())
+void ControlDaemon::collect(TimePoint now) {
+  if (auto claim = election_.drain_claim())
     claim_term(*claim, now);
   bool is_master = election_.is_master();
   if (is_master != was_master_) {
     was_master_ = is_master;
     if (is_master) {
-      see_state(now);
+      refresh_state(now);
       begin_leading(now);
     } else {
       note(now, "deposed", settings_.self.address.text);
     }
   }
-  auto take = [&](std::vector<Sending> sendings) {
-    for (auto& sending : sendings) {
-      if (sending.to.empty())
+  auto take = [&](std::vector<OutboundMessage> messages) {
+    for (auto& message : messages) {
+      if (message.to.empty())
         continue;
-      out_.push_back(std::move(sending));
+      out_.push_back(std::move(message));
     }
   };
   auto tell = [&](RefusedMessages& refusals) {
-    for (const auto& refused : refusals.take_news())
-      note(now, "refused_message", refused.from.text + " " + reason_word(refused.reason) + " " + refused.detail);
+    for (const auto& refused : refusals.drain_updates())
+      note(now, "refused_message", refused.from.text + " " + reason_name(refused.reason) + " " + refused.detail);
   };
   tell(proposer_.refusals());
   if (acceptor_) {
     tell(acceptor_->refusals());
-    take(acceptor_->take_out());
+    take(acceptor_->drain_outbound());
   }
-  take(proposer_.take_out());
-  take(election_.take_out());
-  take(slices_.take_out());
-  take(reconciler_.take_out());
-  take(founder_.take_out());
-  take(core_set_.take_out());
+  take(proposer_.drain_outbound());
+  take(election_.drain_outbound());
+  take(slices_.drain_outbound());
+  take(reconciler_.drain_outbound());
+  take(bootstrapper_.drain_outbound());
+  take(replica_set_manager_.drain_outbound());
 }
 
-std::vector<Sending> ControlDaemon::take_out() { return std::exchange(out_, {}); }
-std::vector<WriteWish> ControlDaemon::take_writes() {
-  return acceptor_ ? acceptor_->take_writes() : std::vector<WriteWish>{};
+std::vector<OutboundMessage> ControlDaemon::drain_outbound() { return std::exchange(out_, {}); }
+std::vector<LogWrite> ControlDaemon::drain_writes() {
+  return acceptor_ ? acceptor_->drain_writes() : std::vector<LogWrite>{};
 }
-std::vector<ProbeWish> ControlDaemon::take_probes() { return runner_watch_.take_probes(); }
+std::vector<ProbeRequest> ControlDaemon::drain_probes() { return runner_health_monitor_.drain_probes(); }
 
 }  // namespace emberdale
