--- a/packages/control-plane/src/control_interface.cpp
+++ b/packages/control-plane/src/control_interface.cpp
@@ -18,8 +18,8 @@
 
 constexpr std::size_t max_body = 1 << 20;
 
-void answer(const http_request& request, int code, const std::string& body, Integer version = 0, int retry_after = 0,
-            const char* kind = "application/json") {
+void answer(const http_request& request, int code, const std::string& body, std::int64_t version = 0,
+            int retry_after = 0, const char* kind = "application/json") {
   http_response response(static_cast<web::http::status_code>(code));
   if (version > 0)
     response.headers().add("ETag", "\"" + std::to_string(version) + "\"");
@@ -57,18 +57,18 @@
 };
 
 // In force everywhere: no daemon that may still send does so by an older plan.
-InForceCount count_in_force(const std::vector<InForce>& reports, Integer revision) {
+InForceCount count_in_force(const std::vector<DaemonStatus>& reports, std::int64_t revision) {
   InForceCount count;
   for (const auto& report : reports) {
     bool is_there = report.config_revision >= revision;
-    bool is_silent = report.age > 3000;
-    std::string state = is_there ? "in_force" : is_silent ? "silent" : report.granted ? "pending" : "not_serving";
+    bool is_silent = report.age_ms > 3000;
+    std::string state = is_there ? "in_force" : is_silent ? "silent" : report.has_grant ? "pending" : "not_serving";
     count.daemons.push_back({{"daemon", report.daemon.address.text},
                              {"zone", report.daemon.zone.text},
                              {"state", state},
                              {"map_version", show(report.version)},
                              {"config_revision", report.config_revision},
-                             {"age_ms", report.age}});
+                             {"age_ms", report.age_ms}});
     if (state == "pending")
       count.is_everywhere = false;
   }
@@ -79,7 +79,7 @@
 
 Json daemon_json(const DaemonEntry& entry) {
   return {{"address", entry.address.text},
-          {"http", entry.http},
+          {"http", entry.http_address},
           {"role", entry.role},
           {"zone", entry.zone.text},
           {"region", entry.region.text}};
@@ -87,13 +87,14 @@
 
 }  // namespace
 
-ControlInterface::ControlInterface(boost::asio::io_context& context, ControlDaemon& daemon, PeerConnections& links,
-                                   const std::string& http, bool may_fault_links, std::function<void()> flush)
+ControlInterface::ControlInterface(boost::asio::io_context& context, ControlDaemon& daemon,
+                                   PeerConnections& connections, const std::string& http, bool may_fault_connections,
+                                   std::function<void()> flush)
     : context_(context),
       daemon_(daemon),
-      links_(links),
+      connections_(connections),
       listener_("http://" + http + "/"),
-      may_fault_links_(may_fault_links),
+      may_fault_connections_(may_fault_connections),
       flush_(std::move(flush)) {
   listener_.support([this](http_request request) { handle(std::move(request)); });
 }
@@ -216,18 +217,18 @@
             list(request, kind, name);
         });
       }
-      EditAsk ask;
-      ask.act = method == methods::PUT     ? "put"
-                : method == methods::PATCH ? "patch"
-                : method == methods::DEL   ? "delete"
-                                           : "";
-      if (ask.act.empty() || name.empty())
+      EditRequest edit_request;
+      edit_request.action = method == methods::PUT     ? "put"
+                            : method == methods::PATCH ? "patch"
+                            : method == methods::DEL   ? "delete"
+                                                       : "";
+      if (edit_request.action.empty() || name.empty())
         return answer_reason(request, 405, "GET, PUT, PATCH or DELETE of one resource, or GET of a list");
-      ask.kind = kind;
-      ask.name = name;
-      ask.body = body;
-      ask.expected = -1;
-      ask.change = random_id();
+      edit_request.kind = kind;
+      edit_request.name = name;
+      edit_request.body = body;
+      edit_request.expected_version = -1;
+      edit_request.change_id = random_id();
       const auto& headers = request.headers();
       auto if_match = headers.find("If-Match");
       if (if_match != headers.end() && if_match->second != "*") {
@@ -235,21 +236,21 @@
         tag.erase(std::remove(tag.begin(), tag.end(), '"'), tag.end());
         if (tag.empty() || tag.size() > 18 || tag.find_first_not_of("0123456789") != std::string::npos)
           return answer_reason(request, 400, "If-Match must be a version, as an ETag gave it");
-        ask.expected = std::stoll(tag);
+        edit_request.expected_version = std::stoll(tag);
       }
       auto if_none = headers.find("If-None-Match");
       if (if_none != headers.end() && if_none->second == "*")
-        ask.expected = 0;
-      return post([this, request, ask] { edit(request, ask); });
+        edit_request.expected_version = 0;
+      return post([this, request, edit_request] { edit(request, edit_request); });
     }
     answer_reason(request, 404, "there is nothing at " + request.relative_uri().path());
   });
 }
 
-void ControlInterface::edit(http_request request, EditAsk ask) {
+void ControlInterface::edit(http_request request, EditRequest edit_request) {
   daemon_.edit(
-      ask,
-      [request](const EditAnswer& done) {
+      edit_request,
+      [request](const EditResponse& done) {
         answer(request, static_cast<int>(done.code), done.body, done.version, done.code == 503 ? 1 : 0);
       },
       steady_now());
@@ -311,14 +312,14 @@
     return;
   }
   daemon_.view(
-      [this, watch](const ViewAnswer& view) {
+      [this, watch](const ViewResponse& view) {
         const auto& proposer = daemon_.proposer();
         Json items = Json::array();
         for (const auto& resource : proposer.state().resources) {
           if (resource.kind != watch->kind || (!watch->name.empty() && resource.name != watch->name))
             continue;
-          auto count = count_in_force(view.in_force, resource.config_revision);
-          bool is_mapped = view.master && view.settled && view.map.config_revision >= resource.config_revision;
+          auto count = count_in_force(view.daemon_statuses, resource.config_revision);
+          bool is_mapped = view.from_master && view.is_settled && view.map.config_revision >= resource.config_revision;
           for (auto& daemon : count.daemons)
             daemon.erase("age_ms");
           for (auto& daemon : count.daemons)
@@ -329,7 +330,7 @@
                            {"in_force", is_mapped && count.is_everywhere},
                            {"daemons", count.daemons}});
         }
-        std::string line = json_text(Json{{"kind", watch->kind}, {"master_known", view.master}, {"items", items}});
+        std::string line = json_text(Json{{"kind", watch->kind}, {"master_known", view.from_master}, {"items", items}});
         std::string out;
         if (line != watch->last) {
           watch->last = line;
@@ -366,16 +367,16 @@
 
 void ControlInterface::fleet(http_request request) {
   daemon_.view(
-      [this, request](const ViewAnswer& view) {
+      [this, request](const ViewResponse& view) {
         const auto& proposer = daemon_.proposer();
         const auto& state = proposer.state();
-        Json fleet{{"fleet", state.fleet},
+        Json fleet{{"fleet", state.fleet_name},
                    {"state_version", state.version},
                    {"config_revision", state.config_revision},
                    {"reign", state.term},
                    {"master", state.master.text},
                    {"map_floor", show(state.minimum_version)},
-                   {"master_answers", view.master},
+                   {"master_answers", view.from_master},
                    {"map_version", show(view.map.version)},
                    {"map_config_revision", view.map.config_revision}};
         fleet["state_age_ms"] = (steady_now() - proposer.confirmed_at()).value;
@@ -393,13 +394,14 @@
         fleet["known"] = Json::array();
         for (const auto& entry : daemon_.known())
           fleet["known"].push_back(daemon_json(entry));
-        fleet["daemons"] = count_in_force(view.in_force, view.map.config_revision).daemons;
+        fleet["daemons"] = count_in_force(view.daemon_statuses, view.map.config_revision).daemons;
         fleet["emptied_zones"] = Json::array();
-        for (const auto& zone : view.map.emptied)
+        for (const auto& zone : view.map.evacuated_zones)
           fleet["emptied_zones"].push_back(zone.text);
         fleet["gateways"] = Json::array();
         for (const auto& row : view.map.gateways)
-          fleet["gateways"].push_back({{"http", row.http}, {"zone", row.zone.text}, {"region", row.region.text}});
+          fleet["gateways"].push_back(
+              {{"http", row.http_address}, {"zone", row.zone.text}, {"region", row.region.text}});
         fleet["regions"] = Json::array();
         for (const auto& row : view.map.regions)
           fleet["regions"].push_back({{"pool", row.pool.text},
@@ -410,10 +412,10 @@
         fleet["runners"] = Json::array();
         for (const auto& row : view.map.runners) {
           Json grants = Json::object();
-          for (const auto& grant : row.grants)
-            grants[grant.daemon.text] = grant.calls;
+          for (const auto& grant : row.warmup_grants)
+            grants[grant.daemon.text] = grant.requests;
           fleet["runners"].push_back({{"name", row.name.text},
-                                      {"address", row.http},
+                                      {"address", row.http_address},
                                       {"pool", row.pool.text},
                                       {"zone", row.zone.text},
                                       {"region", row.region.text},
@@ -435,23 +437,23 @@
   if (daemon_.acceptor() != nullptr)
     refused_messages += daemon_.acceptor()->refusals().total();
   const auto& e = daemon_.election().counts();
-  const auto& l = links_.counts();
+  const auto& l = connections_.counts();
   std::map<std::string, std::int64_t> counters{{"maps_published", c.maps_published},
                                                {"maps_taken", c.maps_taken},
                                                {"maps_fenced", c.maps_fenced},
                                                {"edits", daemon_.edit_counts().edits},
                                                {"edits_unknown", daemon_.edit_counts().unknown},
-                                               {"edits_doubled_ids", daemon_.edit_counts().doubled_ids},
+                                               {"edits_doubled_ids", daemon_.edit_counts().conflicting_ids},
                                                {"probes", daemon_.probes_made()},
-                                               {"enrolled", daemon_.roster_counts().enrolled},
-                                               {"ghosts_evicted", daemon_.roster_counts().dead_members_evicted},
+                                               {"enrolled", daemon_.membership_counts().enrolled},
+                                               {"ghosts_evicted", daemon_.membership_counts().dead_members_evicted},
                                                {"messages_in", c.messages_in},
-                                               {"bars_passed", c.holds_passed},
+                                               {"bars_passed", c.blocks_forwarded},
                                                {"register_rounds", p.rounds},
                                                {"register_conflicts", p.conflicts},
                                                {"register_committed", p.committed},
                                                {"register_unknown", p.unknown},
-                                               {"register_mended", p.mended},
+                                               {"register_mended", p.repaired},
                                                {"register_reads", p.reads},
                                                {"register_deltas", p.deltas},
                                                {"register_whole_values", p.whole_values},
@@ -478,20 +480,20 @@
 }
 
 void ControlInterface::faults(http_request request, const std::string& body) {
-  if (!may_fault_links_)
+  if (!may_fault_connections_)
     return answer_reason(request, 403, "started without --allow-link-faults");
   Json wish = Json::parse(body, nullptr, false);
   if (!wish.is_object())
     return answer_reason(request, 400, "not a JSON object");
   if (wish.value("clear", false))
-    links_.clear_faults();
+    connections_.clear_faults();
   if (wish.contains("disk") && (!wish["disk"].is_string() || !set_disk_fault ||
                                 !set_disk_fault(wish["disk"].get<std::string>(), wish.value("disk_ms", 250))))
     return answer_reason(request, 400, "there is no such fault, or no disk here");
   if (wish.contains("siblings"))
     for (const auto& peer : wish["siblings"])
-      links_.set_fault({peer.get<std::string>()},
-                       {wish.value("cut_out", false), wish.value("cut_in", false), Span{wish.value("delay_ms", 0)}});
+      connections_.set_fault({peer.get<std::string>()}, {wish.value("cut_out", false), wish.value("cut_in", false),
+                                                         Duration{wish.value("delay_ms", 0)}});
   answer(request, 200, "{}");
 }
 
--- a/packages/control-plane/src/control_interface.hpp
+++ b/packages/control-plane/src/control_interface.hpp
@@ -16,8 +16,8 @@
 // Every act on the daemon is posted to the control thread; answers come back from there.
 class ControlInterface {
  public:
-  ControlInterface(boost::asio::io_context& context, ControlDaemon& daemon, PeerConnections& links,
-                   const std::string& http, bool may_fault_links, std::function<void()> flush);
+  ControlInterface(boost::asio::io_context& context, ControlDaemon& daemon, PeerConnections& connections,
+                   const std::string& http, bool may_fault_connections, std::function<void()> flush);
   Outcome<bool> open();
   void close();
   std::function<bool(const std::string& fault, std::int64_t ms)> set_disk_fault;  // tests only
@@ -27,7 +27,7 @@
   struct Watch;
   void handle(web::http::http_request request);
   void handle_resource(web::http::http_request request, const std::string& kind, const std::string& name);
-  void edit(web::http::http_request request, EditAsk ask);
+  void edit(web::http::http_request request, EditRequest edit_request);
   void list(web::http::http_request request, const std::string& kind, const std::string& name);
   void watch(web::http::http_request request, const std::string& kind, const std::string& name);
   void step_watch(std::shared_ptr<Watch> watch);
@@ -37,9 +37,9 @@
 
   boost::asio::io_context& context_;
   ControlDaemon& daemon_;
-  PeerConnections& links_;
+  PeerConnections& connections_;
   web::http::experimental::listener::http_listener listener_;
-  bool may_fault_links_;
+  bool may_fault_connections_;
   std::function<void()> flush_;
   bool is_closed_ = false;
 };
--- a/packages/control-plane/src/control_membership.cpp
+++ b/packages/control-plane/src/control_membership.cpp
@@ -6,7 +6,7 @@
 namespace emberdale {
 namespace {
 
-constexpr Span alive_span{2000};
+constexpr Duration alive_timeout{2000};
 
 bool has_daemon(const std::vector<DaemonEntry>& roster, const Address& address) {
   return std::any_of(roster.begin(), roster.end(), [&](const auto& entry) { return entry.address == address; });
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-void ControlDaemon::see_state(Moment now) {
+void ControlDaemon::refresh_state(TimePoint now) {
   if (!proposer_.has_state())
     return;
   if (proposer_.ballot() != seen_ballot_) {
@@ -24,7 +24,7 @@
       std::vector<Finding> findings;
       configuration_ = read_configuration(state.resources, findings);
       configuration_of_ = state.config_revision;
-      see_traffic();
+      observe_routing_table();
     }
     if (is_edge()) {
       election_.set_roster(state.roster, state.term, state.master, now);
@@ -32,58 +32,58 @@
         if (entry.address != settings_.self.address && known_[entry.address].entry.role.empty())
           known_[entry.address].entry = entry;
     }
-    core_set_.on_state();
+    replica_set_manager_.on_state();
   }
   answer_reads(now);
 }
 
-void ControlDaemon::keep_roster(Moment now) {
+void ControlDaemon::keep_roster(TimePoint now) {
   std::vector<DaemonEntry> heard;
   for (const auto& [address, known] : known_)
-    if (known.entry.role == "edge" && now - known.heard <= alive_span)
+    if (known.entry.role == "edge" && now - known.heard <= alive_timeout)
       heard.push_back(known.entry);
   if (!is_led_by_others(now))
-    roster_keeper_.enrol(heard, now);
+    membership_registry_.enrol(heard, now);
   // With as few daemons as one process a machine has, a dead member in the roster may leave no one to spare.
-  roster_keeper_.evict_dead_members(std::max(election_.starved_rounds(), is_leaderless() ? 1 : 0),
-                                    election_.is_master(), now);
-  for (const auto& dead_member : roster_keeper_.take_evicted())
+  membership_registry_.evict_dead_members(std::max(election_.rounds_without_quorum(), is_leaderless() ? 1 : 0),
+                                          election_.is_master(), now);
+  for (const auto& dead_member : membership_registry_.take_evicted())
     known_.erase(dead_member);
 }
 
 // A newcomer to a fleet that is led joins its master first, and enrols then: the roster's growth must not leave
 // that master without its quorum while the newcomer still waits for peers that are gone.
-bool ControlDaemon::is_led_by_others(Moment now) const {
-  if (!settings_.reconciles_membership || now - started_at_ > Span{8000})
+bool ControlDaemon::is_led_by_others(TimePoint now) const {
+  if (!settings_.reconciles_membership || now - started_at_ > Duration{8000})
     return false;
   if (election_.phase() == MasterElection::Phase::following || election_.is_master())
     return false;
   return std::any_of(known_.begin(), known_.end(), [&](const auto& entry) {
     const Known& known = entry.second;
-    return now - known.heard <= alive_span && !known.master.empty() && known.master != settings_.self.address;
+    return now - known.heard <= alive_timeout && !known.master.empty() && known.master != settings_.self.address;
   });
 }
 
 // Neither enrolled nor heard of lately: to name it would let others wait for it in their rounds.
-bool ControlDaemon::is_dead_member(const Address& daemon, Moment now) const {
+bool ControlDaemon::is_dead_member(const Address& daemon, TimePoint now) const {
   auto known = known_.find(daemon);
   return settings_.reconciles_membership && proposer_.has_state() && !has_daemon(proposer_.state().roster, daemon) &&
-         (known == known_.end() || now - known->second.heard > alive_span);
+         (known == known_.end() || now - known->second.heard > alive_timeout);
 }
 
 // Who was heard lately, or is enrolled, may keep a store that belongs into the set of core machines.
-void ControlDaemon::reconcile_membership(Moment now) {
+void ControlDaemon::reconcile_membership(TimePoint now) {
   reconciler_.set_right(decision_right());
   reconciler_.on_timer(now);
   std::vector<DaemonEntry> daemons;
   for (const auto& [address, known] : known_) {
     bool is_near =
-        now - known.heard <= Span{3000} || (proposer_.has_state() && has_daemon(proposer_.state().roster, address));
+        now - known.heard <= Duration{3000} || (proposer_.has_state() && has_daemon(proposer_.state().roster, address));
     if (is_near && !known.entry.role.empty() && known.entry.role != "data")
       daemons.push_back(known.entry);
   }
   daemons.push_back(settings_.self);  // a master outside the set minds its own store as any other learner's
-  reconciler_.see_daemons(daemons, now);
+  reconciler_.observe_daemons(daemons, now);
 }
 
 DecisionRight ControlDaemon::decision_right() const {
@@ -104,7 +104,7 @@
   return false;
 }
 
-void ControlDaemon::claim_term(const TermClaim& claim, Moment now) {
+void ControlDaemon::claim_term(const TermClaim& claim, TimePoint now) {
   if (is_claiming_)
     return;
   is_claiming_ = true;
@@ -131,30 +131,30 @@
         bool is_won = end.kind == ChangeEnd::Kind::committed;
         election_.claim_ended(is_won, is_won ? end.state.term : 0, now);
       },
-      now, Span{2500});
+      now, Duration{2500});
 }
 
-void ControlDaemon::begin_leading(Moment now) {
+void ControlDaemon::begin_leading(TimePoint now) {
   lease_.begin(now);
   edits_.begin();
   note(now, "master", "term " + std::to_string(election_.term()));
-  cold_shares_.begin(map_, election_.term() > 1, now);
+  warmup_shares_.begin(map_, election_.term() > 1, now);
   in_force_.clear();
   follower_versions_.clear();
-  follower_traffic_.clear();
+  follower_routing_tables_.clear();
   map_resent_.clear();
-  runner_watch_.inherit(map_, now);
+  runner_health_monitor_.inherit(map_, now);
   runner_list_.begin(now);
   publish(now, true);
 }
 
-void ControlDaemon::on_refused(const Address& peer, Moment now) {
+void ControlDaemon::on_refused(const Address& peer, TimePoint now) {
   reconciler_.on_refused(peer);
   if (is_edge())
     election_.refused(peer, now);
   auto known = known_.find(peer);
   if (known != known_.end())
-    known->second.heard = Moment{now.value - alive_span.value - 1};
+    known->second.heard = TimePoint{now.value - alive_timeout.value - 1};
   collect(now);
 }
 
--- a/packages/control-plane/src/control_operators.cpp
+++ b/packages/control-plane/src/control_operators.cpp
@@ -6,54 +6,54 @@
 namespace emberdale {
 namespace {
 
-constexpr Span read_patience{2000}, poll_pace{350};
+constexpr Duration read_patience{2000}, poll_pace{350};
 
 }  // namespace
 
-void ControlDaemon::edit(EditAsk ask, std::function<void(const EditAnswer&)> done, Moment now) {
-  ask.ask = ++last_ask_;
-  if (auto refusal = refusal_at_arrival(ask, now))
-    return done(EditAnswer{ask.ask, 503, 0, reason_body(*refusal, "refused"), 0});
-  PassedHold hold = hold_of(ask, version_of(ask), now);
+void ControlDaemon::edit(EditRequest request, std::function<void(const EditResponse&)> done, TimePoint now) {
+  request.request_id = ++last_request_id_;
+  if (auto refusal = refusal_at_arrival(request, now))
+    return done(EditResponse{request.request_id, 503, 0, reason_body(*refusal, "refused"), 0});
+  ForwardedBlock block = block_of(request, version_of(request), now);
   if (election_.is_master()) {
     MasterEdits::Edit edit;
-    edit.ask = std::move(ask);
-    edit.ask.term = election_.term();
+    edit.request = std::move(request);
+    edit.request.term = election_.term();
     edit.done = std::move(done);
-    edit.hold = std::move(hold);
+    edit.block = std::move(block);
     edits_.take(std::move(edit), now);
     run_edits(now);
   } else {
-    forwarder_.take(std::move(ask), std::move(done), std::move(hold), now);
+    forwarder_.take(std::move(request), std::move(done), std::move(block), now);
     forward_edits(now);
   }
   collect(now);
 }
 
-std::optional<std::string> ControlDaemon::refusal_at_arrival(const EditAsk& ask, Moment now) const {
+std::optional<std::string> ControlDaemon::refusal_at_arrival(const EditRequest& edit_request, TimePoint now) const {
   if (is_stopping_)
     return "this daemon stops";
   if (!proposer_.has_state())
     return "no register is known here";
   if (is_out_of_contact(now))
     return "no majority of the register answers here";
-  if (is_bound_by_age(ask) && pauses_.may_read_old_requests(now, proposer_.reached_at()))
+  if (is_bound_by_age(edit_request) && pauses_.may_read_old_requests(now, proposer_.reached_at()))
     return "this daemon did not run for a while: the request may be old";
   return std::nullopt;
 }
 
 // Hands what was taken in here to the master; without one it waits a while for the next. The same change,
 // handed to a second master after the first was lost, counts once.
-void ControlDaemon::forward_edits(Moment now) {
+void ControlDaemon::forward_edits(TimePoint now) {
   if (forwarder_.waiting().empty() || !proposer_.has_state())
     return;
   if (election_.is_master()) {
     for (auto& waiting : forwarder_.take_back(now)) {
       MasterEdits::Edit edit;
-      edit.ask = std::move(waiting.ask);
-      edit.ask.term = election_.term();
+      edit.request = std::move(waiting.request);
+      edit.request.term = election_.term();
       edit.done = std::move(waiting.done);
-      edit.hold = std::move(waiting.hold);
+      edit.block = std::move(waiting.block);
       edit.has_copies = !waiting.copies.empty();
       edits_.take(std::move(edit), now);
     }
@@ -62,9 +62,9 @@
   Address master = leader_to_send_to();
   if (master == settings_.self.address)
     return;
-  Integer term = std::max(proposer_.state().term, election_.term());
-  for (auto& sending : forwarder_.send(master, term, now, election_.master_stamp(term)))
-    out_.push_back(std::move(sending));
+  std::int64_t term = std::max(proposer_.state().term, election_.term());
+  for (auto& message : forwarder_.send(master, term, now, election_.master_stamp(term)))
+    out_.push_back(std::move(message));
 }
 
 // A copy that goes to a leader that is gone makes a refusal unknown: where operators are told early, a leader that is
@@ -77,38 +77,38 @@
 // "We were told": while an edit that takes a runner or a zone out of work is not settled (no master leads, the
 // core does not answer), every data daemon hears of it all the same. That only ever takes work away, and
 // lapses by itself; a refusal lifts it; the map settles it.
-void ControlDaemon::pass_holds(Moment now) {
+void ControlDaemon::forward_blocks(TimePoint now) {
   for (auto& [number, waiting] : forwarder_.waiting())
-    if (waiting.hold.is_due(version_of(waiting.ask), now))
-      pass_hold(*waiting.hold.hold);
+    if (waiting.block.is_due(version_of(waiting.request), now))
+      forward_block(*waiting.block.block);
   for (auto& edit : edits_.in_hand())
-    if (edit.from.empty() && edit.hold.is_due(version_of(edit.ask), now))
-      pass_hold(*edit.hold.hold);
+    if (edit.from.empty() && edit.block.is_due(version_of(edit.request), now))
+      forward_block(*edit.block.block);
 }
 
-Integer ControlDaemon::version_of(const EditAsk& ask) const {
+std::int64_t ControlDaemon::version_of(const EditRequest& request) const {
   if (proposer_.has_state())
     for (const auto& resource : proposer_.state().resources)
-      if (resource.kind == ask.kind && resource.name == ask.name)
+      if (resource.kind == request.kind && resource.name == request.name)
         return resource.version;
   return 0;
 }
 
-void ControlDaemon::lift_hold(const PassedHold& passed, const EditAnswer& answer) {
-  if (!passed.hold || answer.code == 200 || answer.code == 201 || answer.code == 504)
+void ControlDaemon::lift_block(const ForwardedBlock& passed, const EditResponse& response) {
+  if (!passed.block || response.code == 200 || response.code == 201 || response.code == 504)
     return;
-  Hold lifted = *passed.hold;
-  lifted.lifted = true;
-  pass_hold(lifted);
+  DispatchBlock lifted = *passed.block;
+  lifted.is_lifted = true;
+  forward_block(lifted);
 }
 
-void ControlDaemon::pass_hold(const Hold& hold) {
-  ++counts_.holds_passed;
+void ControlDaemon::forward_block(const DispatchBlock& block) {
+  ++counts_.blocks_forwarded;
   for (const auto& gateway : map_.gateways)
-    out_.push_back({gateway.daemon, hold});
+    out_.push_back({gateway.daemon, block});
   // Those this daemon can't reach may be in reach of others.
-  Hold relayed = hold;
-  relayed.relayed = true;
+  DispatchBlock relayed = block;
+  relayed.is_relayed = true;
   std::set<Address> others;
   for (const auto& edge : map_.edges)
     others.insert(edge.daemon);
@@ -120,12 +120,12 @@
     out_.push_back({other, relayed});
 }
 
-void ControlDaemon::run_edits(Moment now) {
+void ControlDaemon::run_edits(TimePoint now) {
   edits_.run(map_.version, now);
   end_edits();
 }
 
-void ControlDaemon::settle_edits(Moment now) {
+void ControlDaemon::settle_edits(TimePoint now) {
   edits_.settle(
       map_.version,
       [this](const MapVersion& covered_by) {
@@ -144,28 +144,28 @@
 
 void ControlDaemon::end_edits() {
   for (auto& edit : edits_.take_ended()) {
-    lift_hold(edit.hold, edit.answer);
+    lift_block(edit.block, edit.response);
     if (!edit.from.empty())
-      out_.push_back({edit.from, edit.answer});
+      out_.push_back({edit.from, edit.response});
     else if (edit.done)
-      edit.done(edit.answer);
+      edit.done(edit.response);
   }
 }
 
-void ControlDaemon::read(std::function<void(const FleetState*)> done, Moment now) {
+void ControlDaemon::read(std::function<void(const FleetState*)> done, TimePoint now) {
   if (is_stopping_ || is_out_of_contact(now))
     return done(nullptr);
   Waiting waiting;
-  waiting.deadline = now + std::min(read_patience, settings_.edit_times.asker_patience);
+  waiting.deadline = now + std::min(read_patience, settings_.edit_times.requester_timeout);
   waiting.read = std::move(done);
-  waiting_[++last_ask_] = std::move(waiting);
+  waiting_[++last_request_id_] = std::move(waiting);
   poll_for_reads(now);
   collect(now);
 }
 
 // One question serves all reads that came before it. While it is in flight those that come later wait for the next:
 // a question of their own would take its place, and many reads a second would leave none answered.
-void ControlDaemon::poll_for_reads(Moment now) {
+void ControlDaemon::poll_for_reads(TimePoint now) {
   bool is_any_unasked = std::any_of(waiting_.begin(), waiting_.end(), [](const auto& entry) {
     return entry.second.read && entry.second.begun_read == 0;
   });
@@ -173,9 +173,9 @@
     poll_register(now);
 }
 
-void ControlDaemon::poll_register(Moment now) {
+void ControlDaemon::poll_register(TimePoint now) {
   poll_next_ = now + poll_pace;
-  bool wants_heard = is_edge() && (election_.starved_rounds() > 0 || election_.is_master() || is_leaderless());
+  bool wants_heard = is_edge() && (election_.rounds_without_quorum() > 0 || election_.is_master() || is_leaderless());
   std::int64_t number = proposer_.poll(now, settings_.self.role, wants_heard);
   for (auto& [ask, waiting] : waiting_)
     if (waiting.read && waiting.begun_read == 0)
@@ -183,7 +183,7 @@
 }
 
 // An answer that comes after the deadline is none: this process may have been paused, and its asker is gone.
-void ControlDaemon::answer_reads(Moment now) {
+void ControlDaemon::answer_reads(TimePoint now) {
   for (auto entry = waiting_.begin(); entry != waiting_.end();) {
     const Waiting& waiting = entry->second;
     bool is_confirmed = waiting.begun_read != 0 && waiting.begun_read <= proposer_.confirmed_read();
@@ -198,60 +198,60 @@
   poll_for_reads(now);
 }
 
-void ControlDaemon::view(std::function<void(const ViewAnswer&)> done, Moment now) {
+void ControlDaemon::view(std::function<void(const ViewResponse&)> done, TimePoint now) {
   Address master = election_.master();
   if (master.empty() && proposer_.has_state())
     master = proposer_.state().master;
   if (election_.is_master() || master.empty() || master == settings_.self.address) {
-    done(ViewAnswer{0, election_.is_master(), is_settled(now), map_, in_force(now)});
+    done(ViewResponse{0, election_.is_master(), is_settled(now), map_, in_force(now)});
     return;
   }
   Waiting waiting;
-  waiting.deadline = now + Span{1000};
+  waiting.deadline = now + Duration{1000};
   waiting.view = std::move(done);
-  waiting_[++last_ask_] = std::move(waiting);
-  out_.push_back({master, ViewAsk{last_ask_}});
+  waiting_[++last_request_id_] = std::move(waiting);
+  out_.push_back({master, ViewRequest{last_request_id_}});
   collect(now);
 }
 
 void ControlDaemon::found(const std::string& fleet, const std::vector<Address>& cores,
-                          std::function<void(int, const std::string&)> done, Moment now) {
+                          std::function<void(int, const std::string&)> done, TimePoint now) {
   if (acceptor_ && !acceptor_->is_blank())
     return done(409, "a fleet is known here already: it is never founded again");
-  core_set_.found(fleet, cores, std::move(done), now);
+  replica_set_manager_.found(fleet, cores, std::move(done), now);
   collect(now);
 }
 
 void ControlDaemon::replace_core(const Address& old_address, const Address& new_address,
-                                 std::function<void(int, const std::string&)> done, Moment now) {
-  core_set_.replace(old_address, new_address, std::move(done), now);
+                                 std::function<void(int, const std::string&)> done, TimePoint now) {
+  replica_set_manager_.replace(old_address, new_address, std::move(done), now);
   collect(now);
 }
 
 // The master opens and closes the maintenance windows of zone orders: each time an edit like any other,
 // durable, covered by a map and barred against older ones. A clock that jumps can flip a zone once in
 // ten seconds, no oftener.
-void ControlDaemon::keep_windows(Moment now) {
+void ControlDaemon::keep_windows(TimePoint now) {
   if (wall_seconds_ == 0 || now < window_next_ || !edits_.empty())
     return;
   for (const auto& order : configuration_.orders) {
     bool is_wanted = order.wants_window(wall_seconds_);
     if (is_wanted == order.is_window_open)
       continue;
-    EditAsk ask;
-    ask.change = "window-" + order.zone.text + "-" + std::to_string(proposer_.state().version) + "-" +
-                 std::to_string(wall_seconds_);
-    ask.act = "patch";
-    ask.kind = orders_kind;
-    ask.name = order.zone.text;
-    ask.expected = -1;
-    ask.body = is_wanted ? R"({"window_open":true})" : R"({"window_open":false})";
-    if (refusal_at_arrival(ask, now))
+    EditRequest request;
+    request.change_id = "window-" + order.zone.text + "-" + std::to_string(proposer_.state().version) + "-" +
+                        std::to_string(wall_seconds_);
+    request.action = "patch";
+    request.kind = orders_kind;
+    request.name = order.zone.text;
+    request.expected_version = -1;
+    request.body = is_wanted ? R"({"window_open":true})" : R"({"window_open":false})";
+    if (refusal_at_arrival(request, now))
       return;  // the next timer tries again
-    window_next_ = now + Span{10000};
+    window_next_ = now + Duration{10000};
     note(now, "window", order.zone.text + (is_wanted ? " opens" : " closes"));
     edit(
-        ask, [](const EditAnswer&) {}, now);
+        request, [](const EditResponse&) {}, now);
     return;
   }
 }
--- a/packages/control-plane/src/control_process.cpp
+++ b/packages/control-plane/src/control_process.cpp
@@ -17,7 +17,7 @@
     if (!files)
       return failure(files.reason);
     std::shared_ptr<FileSystem> disk = *files;
-    if (settings_.may_fault_links)
+    if (settings_.may_fault_connections)
       disk = faulty_disk_ = std::make_shared<FaultyFileSystem>(disk);
     log_ = std::make_unique<SegmentedLog>(disk, 1 << 20);
     auto opening = log_->open(random_id());
@@ -37,15 +37,15 @@
   daemon_->journal().on_event = [](const JournalEvent& event) {
     LOG(INFO) << event.kind << ": " << event.detail;
   };
-  links_ = std::make_unique<PeerConnections>(context_, self, [this](const Address& from, Message message) {
+  connections_ = std::make_unique<PeerConnections>(context_, self, [this](const Address& from, Message message) {
     daemon_->on_message(from, message, steady_now());
     flush();
   });
-  links_->on_refused = [this](const Address& peer) {
+  connections_->on_refused = [this](const Address& peer) {
     daemon_->on_refused(peer, steady_now());
     flush();
   };
-  return links_->listen();
+  return connections_->listen();
 }
 
 void ControlProcess::start() {
@@ -59,7 +59,7 @@
   });
 }
 
-void ControlProcess::stop(Span patience, std::function<void()> before_end) {
+void ControlProcess::stop(Duration patience, std::function<void()> before_end) {
   post([](ControlDaemon& daemon) { daemon.stop(steady_now()); });
   wait_until_ready_to_end();
   // Edits in hand get their answer before the links go.
@@ -80,7 +80,7 @@
 
 // A replica hands its place over first; the daemon bounds that time by its own patience.
 void ControlProcess::wait_until_ready_to_end() {
-  const Moment end = steady_now() + settings_.daemon.hand_over_patience + Span{500};
+  const TimePoint end = steady_now() + settings_.daemon.hand_over_patience + Duration{500};
   while (steady_now() < end) {
     auto asked = std::make_shared<std::promise<bool>>();
     auto answer = asked->get_future();
@@ -117,26 +117,26 @@
   const Address self = settings_.daemon.self.address;
   for (int round = 0; round < 64; ++round) {
     bool was_quiet = true;
-    auto writes = daemon_->take_writes();
+    auto writes = daemon_->drain_writes();
     if (!writes.empty()) {
       was_quiet = false;
       if (!jobs_.offer({std::move(writes), epoch_}))
         LOG(FATAL) << "the disk is " << 4096 << " writes behind";
     }
-    for (auto& sending : daemon_->take_out()) {
+    for (auto& outbound : daemon_->drain_outbound()) {
       was_quiet = false;
-      if (sending.to == self) {
-        boost::asio::post(context_, [this, self, message = std::move(sending.message)] {
+      if (outbound.to == self) {
+        boost::asio::post(context_, [this, self, message = std::move(outbound.message)] {
           daemon_->on_message(self, message, steady_now());
           flush();
         });
       } else {
-        links_->send(sending.to, sending.message);
+        connections_->send(outbound.to, outbound.message);
       }
     }
-    for (auto& wish : daemon_->take_probes())
-      if (on_probe_wish)
-        on_probe_wish(wish);
+    for (auto& probe : daemon_->drain_probes())
+      if (on_probe_request)
+        on_probe_request(probe);
     if (was_quiet)
       return;
   }
--- a/packages/control-plane/src/control_process.hpp
+++ b/packages/control-plane/src/control_process.hpp
@@ -16,14 +16,14 @@
 
 struct ControlProcessSettings {
   ControlDaemonSettings daemon;
-  std::string data_folder;       // empty: keeps no copy of the register
-  bool may_fault_links = false;  // tests only
-  Span timer_interval{25};
+  std::string data_folder;             // empty: keeps no copy of the register
+  bool may_fault_connections = false;  // tests only
+  Duration timer_interval{25};
 };
 
 // Example:
 //   ControlProcess process(settings); auto opened = process.open(); if (!opened) return refuse(opened.reason);
-//   process.on_probe_wish = ...; process.start(); int signal = wait_for_stop(); process.stop();
+//   process.on_probe_request = ...; process.start(); int signal = wait_for_stop(); process.stop();
 class ControlProcess {
  public:
   explicit ControlProcess(ControlProcessSettings settings);
@@ -31,11 +31,11 @@
   Outcome<bool> open();
   void start();
   // Hands its place in the set over, lays down what can be laid down, waits for `patience`, ends the threads. Example:
-  // process.stop(Span{300}, [&] { interface.close(); });
-  void stop(Span patience, std::function<void()> before_end);
+  // process.stop(Duration{300}, [&] { interface.close(); });
+  void stop(Duration patience, std::function<void()> before_end);
 
   // On the control thread: a probe is wished for; an timer has passed.
-  std::function<void(const ProbeWish&)> on_probe_wish;
+  std::function<void(const ProbeRequest&)> on_probe_request;
   std::function<void()> on_timer;
   // Does something with the daemon on the control thread. Example: process.post([&](ControlDaemon& daemon) { ... });
   void post(std::function<void(ControlDaemon&)> act);
@@ -43,7 +43,7 @@
   void flush();
 
   ControlDaemon& daemon() { return *daemon_; }
-  PeerConnections& links() { return *links_; }
+  PeerConnections& connections() { return *connections_; }
   boost::asio::io_context& context() { return context_; }
   std::int64_t disk_writes() const { return disk_writes_; }
   std::int64_t disk_refused() const { return disk_refused_; }
@@ -54,7 +54,7 @@
 
  private:
   struct DiskJob {
-    std::vector<WriteWish> writes;
+    std::vector<LogWrite> writes;
     std::int64_t epoch = 0;  // what was thought out on top of a refused write is refused as well
   };
   void tick();
@@ -67,7 +67,7 @@
   std::shared_ptr<FaultyFileSystem> faulty_disk_;  // tests only
   std::unique_ptr<SegmentedLog> log_;
   std::unique_ptr<ControlDaemon> daemon_;
-  std::unique_ptr<PeerConnections> links_;
+  std::unique_ptr<PeerConnections> connections_;
   BoundedQueue<DiskJob> jobs_{4096};
   std::thread disk_, control_;
   std::int64_t epoch_ = 1;          // of the control thread
--- a/packages/control-plane/src/edit_batch.cpp
+++ b/packages/control-plane/src/edit_batch.cpp
@@ -1,7 +1,7 @@
 #include "emberdale/edit_batch.hpp"
 
-#include "emberdale/order_identity.hpp"
-#include "emberdale/traffic_edits.hpp"
+#include "emberdale/change_identity.hpp"
+#include "emberdale/routing_table_edits.hpp"
 
 namespace emberdale {
 namespace {
@@ -12,7 +12,7 @@
   bool is_applied = false;
 };
 
-Step already_there(Integer version) {
+Step already_there(std::int64_t version) {
   Step step;
   step.result.version = version;
   return step;
@@ -25,45 +25,46 @@
   return step;
 }
 
-const Resource* resource_of(const std::vector<Resource>& resources, const EditAsk& ask) {
-  auto found = std::find_if(resources.begin(), resources.end(),
-                            [&](const Resource& known) { return known.kind == ask.kind && known.name == ask.name; });
+const Resource* resource_of(const std::vector<Resource>& resources, const EditRequest& request) {
+  auto found = std::find_if(resources.begin(), resources.end(), [&](const Resource& known) {
+    return known.kind == request.kind && known.name == request.name;
+  });
   return found == resources.end() ? nullptr : &*found;
 }
 
-bool has_body_already(const FleetState& state, const EditAsk& ask, const EditResult& result) {
-  const Resource* known = resource_of(state.resources, ask);
-  const Resource* next = resource_of(result.resources, ask);
+bool has_body_already(const FleetState& state, const EditRequest& request, const EditResult& result) {
+  const Resource* known = resource_of(state.resources, request);
+  const Resource* next = resource_of(result.resources, request);
   return known != nullptr && next != nullptr && known->body == next->body;
 }
 
-Step ensure(const FleetState& state, EditAsk ask) {
-  ask.act = "put";
+Step ensure(const FleetState& state, EditRequest request) {
+  request.action = "put";
   Step step;
-  step.result = apply_edit(state, ask, state.config_revision + 1);
+  step.result = apply_edit(state, request, state.config_revision + 1);
   step.is_applied = step.result.code < 300;
-  if (step.is_applied && has_body_already(state, ask, step.result))
-    return already_there(resource_of(state.resources, ask)->version);
+  if (step.is_applied && has_body_already(state, request, step.result))
+    return already_there(resource_of(state.resources, request)->version);
   return step;
 }
 
-Step step_on(const FleetState& state, const EditAsk& ask, bool is_leader) {
-  RecalledOrder recalled = recall_order(state.done, ask);
-  if (recalled.memory == OrderMemory::done)
+Step step_on(const FleetState& state, const EditRequest& request, bool is_leader) {
+  IdempotencyRecord recalled = find_completed_change(state.completed_changes, request);
+  if (recalled.memory == IdempotencyStatus::done)
     return already_there(recalled.version);
-  if (recalled.memory == OrderMemory::doubled_id)
-    return refused(doubled_id_code, doubled_id_reason);
+  if (recalled.memory == IdempotencyStatus::conflicting_id)
+    return refused(conflicting_id_code, conflicting_id_reason);
   if (!is_leader)
     return refused(503, "this daemon is master no more");
-  if (ask.act == ensure_act)
-    return ensure(state, ask);
+  if (request.action == ensure_act)
+    return ensure(state, request);
   Step step;
-  if (ask.kind == traffic_kind) {
-    TrafficEditResult traffic = apply_traffic_edit(state, ask, state.config_revision + 1);
+  if (request.kind == routing_table_kind) {
+    RoutingTableEditResult traffic = apply_routing_table_edit(state, request, state.config_revision + 1);
     step.result = std::move(traffic.edit);
     step.is_applied = step.result.code < 300 && !traffic.is_repeat;
   } else {
-    step.result = apply_edit(state, ask, state.config_revision + 1);
+    step.result = apply_edit(state, request, state.config_revision + 1);
     step.is_applied = step.result.code < 300;
   }
   return step;
@@ -73,19 +74,21 @@
 bool EditBatch::work_out(FleetState& state, bool is_leader) {
   bool is_changed = false;
   for (auto& edit : edits) {
-    Step step = step_on(state, edit.ask, is_leader);
+    Step step = step_on(state, edit.request, is_leader);
     if (step.is_applied) {
       is_changed = true;
       state.resources = std::move(step.result.resources);
       state.deleted_version = step.result.deleted_version;
       state.config_revision += 1;
-      state.done.push_back({edit.ask.change, step.result.version, state.config_revision, order_digest(edit.ask)});
+      state.completed_changes.push_back(
+          {edit.request.change_id, step.result.version, state.config_revision, change_digest(edit.request)});
     }
     step.result.resources.clear();
     edit.result = std::move(step.result);
   }
-  if (state.done.size() > done_kept)
-    state.done.erase(state.done.begin(), state.done.end() - static_cast<std::ptrdiff_t>(done_kept));
+  if (state.completed_changes.size() > done_kept)
+    state.completed_changes.erase(state.completed_changes.begin(),
+                                  state.completed_changes.end() - static_cast<std::ptrdiff_t>(done_kept));
   return is_changed;
 }
 
--- a/packages/control-plane/src/leader_lease.cpp
+++ b/packages/control-plane/src/leader_lease.cpp
@@ -24,38 +24,38 @@
     promised += claim.promised.count(daemon);
   bool is_bound = promised > state.lease_roster.size() / 2 || is_promise_off;
   bool was_laid_down = state.master.empty() || state.master == self;
-  if (state.ack_wait <= quick_ack_wait.value)
-    next.ack_wait = was_laid_down ? 0 : is_bound ? quick_ack_wait.value : late_ack_wait.value;
+  if (state.acknowledgement_wait_ms <= quick_ack_wait.value)
+    next.acknowledgement_wait_ms = was_laid_down ? 0 : is_bound ? quick_ack_wait.value : late_ack_wait.value;
   if (is_at_once)
-    next.ack_wait = 0;
+    next.acknowledgement_wait_ms = 0;
   next.lease_roster = addresses(state.roster);
   return next;
 }
 
-void LeaderLease::begin(Moment now) {
+void LeaderLease::begin(TimePoint now) {
   leading_since_ = now;
   tried_roster_.clear();
 }
 
-bool LeaderLease::may_grant_lease(Moment now) const {
+bool LeaderLease::may_grant_lease(TimePoint now) const {
   const FleetState& state = proposer_.state();
   return is_in_force() && now - proposer_.confirmed_at() <= lease_length && !state.lease_roster.empty() &&
          election_.is_acknowledged(state.lease_roster, acknowledgement_length, now) &&
          (tried_roster_.empty() || election_.is_acknowledged(tried_roster_, acknowledgement_length, now));
 }
 
-void LeaderLease::keep(Moment now) {
+void LeaderLease::keep(TimePoint now) {
   if (is_writing_ || now < keep_next_ || !is_in_force())
     return;
   const FleetState& state = proposer_.state();
   std::vector<Address> roster = addresses(state.roster);
-  bool is_wait_over = state.ack_wait > 0 && !is_waiting(now);
+  bool is_wait_over = state.acknowledgement_wait_ms > 0 && !is_waiting(now);
   if (roster == state.lease_roster && !is_wait_over) {
     tried_roster_.clear();
     return;
   }
   is_writing_ = true;
-  keep_next_ = now + Span{700};
+  keep_next_ = now + Duration{700};
   tried_roster_ = roster;
   proposer_.change(
       [roster, is_wait_over, term = state.term, self = self_](const FleetState& found) -> Verdict {
@@ -64,10 +64,10 @@
         FleetState next = found;
         next.lease_roster = roster;
         if (is_wait_over)
-          next.ack_wait = 0;
+          next.acknowledgement_wait_ms = 0;
         return {Verdict::Kind::apply, next, ""};
       },
-      [this](const ChangeEnd&) { is_writing_ = false; }, now, Span{2000});
+      [this](const ChangeEnd&) { is_writing_ = false; }, now, Duration{2000});
 }
 
 }  // namespace emberdale
--- a/packages/control-plane/src/main.cpp
+++ b/packages/control-plane/src/main.cpp
@@ -45,9 +45,9 @@
     auto opened = process_.open();
     if (!opened)
       return refuse(opened.reason);
-    interface_ =
-        std::make_unique<ControlInterface>(process_.context(), process_.daemon(), process_.links(), settings_.self.http,
-                                           settings_.may_fault_links, [this] { process_.flush(); });
+    interface_ = std::make_unique<ControlInterface>(process_.context(), process_.daemon(), process_.connections(),
+                                                    settings_.self.http_address, settings_.may_fault_connections,
+                                                    [this] { process_.flush(); });
     interface_->more_counters = [this] {
       return std::map<std::string, std::int64_t>{{"disk_writes", process_.disk_writes()},
                                                  {"disk_refused", process_.disk_refused()}};
@@ -55,31 +55,31 @@
     interface_->set_disk_fault = [this](const std::string& fault, std::int64_t ms) {
       return process_.set_disk_fault(fault, ms);
     };
-    process_.on_probe_wish = [this](const ProbeWish& wish) {
-      probe(wish);
+    process_.on_probe_request = [this](const ProbeRequest& request) {
+      probe(request);
     };
     auto listens = interface_->open();
     if (!listens)
       return refuse(listens.reason);
     process_.start();
     LOG(INFO) << "serving as " << settings_.self.role << " " << settings_.self.address << ", http "
-              << settings_.self.http;
+              << settings_.self.http_address;
     int signal = wait_for_stop();
     LOG(INFO) << "stopping on signal " << signal;
-    process_.stop(Span{300}, [this] { interface_->close(); });
+    process_.stop(Duration{300}, [this] { interface_->close(); });
     return 0;
   }
 
  private:
   static ControlProcessSettings process_settings(const ProgramSettings& settings) {
-    ControlProcessSettings wish;
-    wish.daemon.self = settings.self;
-    wish.daemon.seeds = settings.seeds;
-    wish.daemon.random_seed =
+    ControlProcessSettings process_settings;
+    process_settings.daemon.self = settings.self;
+    process_settings.daemon.seeds = settings.seeds;
+    process_settings.daemon.random_seed =
         static_cast<std::uint64_t>(settings.self.incarnation) ^ stable_hash(settings.self.address.text);
-    wish.data_folder = settings.data_folder;
-    wish.may_fault_links = settings.may_fault_links;
-    return wish;
+    process_settings.data_folder = settings.data_folder;
+    process_settings.may_fault_connections = settings.may_fault_connections;
+    return process_settings;
   }
 
   int refuse(const std::string& reason) {
@@ -87,14 +87,14 @@
     return 1;
   }
 
-  void probe(const ProbeWish& wish) {
-    auto& client = clients_[wish.http];
+  void probe(const ProbeRequest& probe) {
+    auto& client = clients_[probe.http];
     if (!client) {
       web::http::client::http_client_config config;
       config.set_timeout(std::chrono::milliseconds(900));
-      client = std::make_unique<web::http::client::http_client>("http://" + wish.http, config);
+      client = std::make_unique<web::http::client::http_client>("http://" + probe.http, config);
     }
-    auto name = wish.runner;
+    auto name = probe.runner;
     client->request(web::http::methods::GET, "/status")
         .then([](web::http::http_response response) { return response.extract_string(true); })
         .then([this, name](pplx::task<utility::string_t> reading) {
@@ -103,12 +103,12 @@
           try {
             Json body = Json::parse(reading.get());
             if (body.value("name", "") == name.text) {  // else another runner lives at that address now
-              status.answers = true;
-              status.cold = body.value("cold", false);
-              status.incarnation = body.value("incarnation", Integer{0});
-              status.capacity = body.value("capacity", Integer{1});
-              status.load = body.value("burden", Integer{0});
-              status.allowance = body.value("allowance", Integer{1});
+              status.is_reachable = true;
+              status.is_warming_up = body.value("cold", false);
+              status.incarnation = body.value("incarnation", std::int64_t{0});
+              status.capacity = body.value("capacity", std::int64_t{1});
+              status.load = body.value("burden", std::int64_t{0});
+              status.allowance = body.value("allowance", std::int64_t{1});
             }
           } catch (const std::exception&) {
           }
--- a/packages/control-plane/src/master_edits.cpp
+++ b/packages/control-plane/src/master_edits.cpp
@@ -1,7 +1,7 @@
 #include "emberdale/master_edits.hpp"
+#include "emberdale/change_identity.hpp"
 #include "emberdale/json_text.hpp"
-#include "emberdale/order_identity.hpp"
-#include "emberdale/traffic_table.hpp"
+#include "emberdale/routing_table.hpp"
 
 #include <algorithm>
 #include <memory>
@@ -10,29 +10,29 @@
 namespace emberdale {
 namespace {
 using Json = nlohmann::json;
-constexpr Span edit_patience{4000};
+constexpr Duration edit_patience{4000};
 constexpr std::size_t answered_kept = 512;
 // A write carries at most so many edits, and so many of them on the traffic table, which take longest to work out.
 constexpr std::size_t batch_bound = 16, batch_table_bound = 4;
 
 // What is told where the register was not changed by an edit.
-EditAnswer answer_without_change(const EditResult& result, const ChangeEnd& ended) {
-  EditAnswer answer;
+EditResponse answer_without_change(const EditResult& result, const ChangeEnd& ended) {
+  EditResponse response;
   if (ended.kind == ChangeEnd::Kind::committed) {
-    answer.code = result.code;
-    answer.version = result.version;
-    answer.body = json_text(Json{{"reason", result.reason},
-                                 {"outcome", result.code == 504 ? "unknown" : "refused"},
-                                 {"version", result.version},
-                                 {"findings", Json::parse(findings_json(result.findings))}});
+    response.code = result.code;
+    response.version = result.version;
+    response.body = json_text(Json{{"reason", result.reason},
+                                   {"outcome", result.code == 504 ? "unknown" : "refused"},
+                                   {"version", result.version},
+                                   {"findings", Json::parse(findings_json(result.findings))}});
   } else if (ended.kind == ChangeEnd::Kind::no_majority) {
-    answer.code = 503;
-    answer.body = reason_body(ended.reason, "refused");
+    response.code = 503;
+    response.body = reason_body(ended.reason, "refused");
   } else {
-    answer.code = 504;
-    answer.body = reason_body(ended.reason + "; read it back", "unknown");
+    response.code = 504;
+    response.body = reason_body(ended.reason + "; read it back", "unknown");
   }
-  return answer;
+  return response;
 }
 }  // namespace
 
@@ -43,20 +43,20 @@
   is_in_flight_ = is_outcome_open_ = false;
 }
 
-void MasterEdits::take(Edit edit, Moment now) {
-  auto known = answered_.find(edit.ask.change);
+void MasterEdits::take(Edit edit, TimePoint now) {
+  auto known = answered_.find(edit.request.change_id);
   if (!edit.from.empty() && known != answered_.end()) {
-    if (!(known->second.digest == order_digest(edit.ask)))
-      return refuse_doubled_id(std::move(edit), now);
-    edit.answer = known->second.answer;
+    if (!(known->second.digest == change_digest(edit.request)))
+      return refuse_conflicting_id(std::move(edit), now);
+    edit.response = known->second.response;
     ended_.push_back(std::move(edit));
     return;
   }
   auto in_hand = std::find_if(edits_.begin(), edits_.end(),
-                              [&](const Edit& other) { return other.ask.change == edit.ask.change; });
+                              [&](const Edit& other) { return other.request.change_id == edit.request.change_id; });
   if (in_hand != edits_.end()) {
-    if (!(order_digest(in_hand->ask) == order_digest(edit.ask)))
-      refuse_doubled_id(std::move(edit), now);
+    if (!(change_digest(in_hand->request) == change_digest(edit.request)))
+      refuse_conflicting_id(std::move(edit), now);
     return;
   }
   edit.deadline = now + edit_patience;
@@ -65,59 +65,60 @@
 
 bool MasterEdits::knows(const std::string& change) const {
   return answered_.count(change) != 0 ||
-         std::any_of(edits_.begin(), edits_.end(), [&](const Edit& edit) { return edit.ask.change == change; });
+         std::any_of(edits_.begin(), edits_.end(), [&](const Edit& edit) { return edit.request.change_id == change; });
 }
 
 // An edit is worked out in the term in which it was taken in, or never: what came in a later term may have been asked
 // later, and been acknowledged by a leader in between.
 void MasterEdits::end_those_of_earlier_terms() {
   for (std::size_t i = 0; i < edits_.size();) {
-    if (edits_[i].is_committed || edits_[i].ask.term == election_.term()) {
+    if (edits_[i].is_committed || edits_[i].request.term == election_.term()) {
       ++i;
       continue;
     }
-    EditAnswer answer;
-    answer.code = 503;
-    answer.body = reason_body("taken in in an earlier term of this leader", "refused");
-    end(i, std::move(answer));
+    EditResponse response;
+    response.code = 503;
+    response.body = reason_body("taken in in an earlier term of this leader", "refused");
+    end(i, std::move(response));
   }
 }
 
-void MasterEdits::count_doubled_id(const Edit& edit, Moment now) {
-  if (++counts_.doubled_ids == 1)  // told once, counted always
-    journal_.append(now, "doubled_id", edit.from.text + " " + edit.ask.change);
+void MasterEdits::count_conflicting_id(const Edit& edit, TimePoint now) {
+  if (++counts_.conflicting_ids == 1)  // told once, counted always
+    journal_.append(now, "doubled_id", edit.from.text + " " + edit.request.change_id);
 }
 
-void MasterEdits::refuse_doubled_id(Edit edit, Moment now) {
-  count_doubled_id(edit, now);
-  edit.answer = EditAnswer{edit.ask.ask, doubled_id_code, 0, reason_body(doubled_id_reason, "refused"), edit.ask.term};
+void MasterEdits::refuse_conflicting_id(Edit edit, TimePoint now) {
+  count_conflicting_id(edit, now);
+  edit.response = EditResponse{edit.request.request_id, conflicting_id_code, 0,
+                               reason_body(conflicting_id_reason, "refused"), edit.request.term};
   ended_.push_back(std::move(edit));
 }
 
-void MasterEdits::end(std::size_t at, EditAnswer answer) {
+void MasterEdits::end(std::size_t at, EditResponse response) {
   Edit edit = std::move(edits_[at]);
   edits_.erase(edits_.begin() + static_cast<std::ptrdiff_t>(at));
-  if (answer.code == 503 && edit.has_copies) {
-    answer.code = 504;
-    answer.body = reason_body("an earlier master may have done it; read it back", "unknown");
+  if (response.code == 503 && edit.has_copies) {
+    response.code = 504;
+    response.body = reason_body("an earlier master may have done it; read it back", "unknown");
   }
-  answer.ask = edit.ask.ask;
-  answer.term = edit.ask.term;
-  if (answer.code == 504)
+  response.request_id = edit.request.request_id;
+  response.term = edit.request.term;
+  if (response.code == 504)
     ++counts_.unknown;
   if (!edit.from.empty()) {
-    answered_[edit.ask.change] = Answered{order_digest(edit.ask), answer};
-    answered_order_.push_back(edit.ask.change);
+    answered_[edit.request.change_id] = Answered{change_digest(edit.request), response};
+    answered_order_.push_back(edit.request.change_id);
     if (answered_order_.size() > answered_kept) {
       answered_.erase(answered_order_.front());
       answered_order_.pop_front();
     }
   }
-  edit.answer = std::move(answer);
+  edit.response = std::move(response);
   ended_.push_back(std::move(edit));
 }
 
-void MasterEdits::run(const MapVersion& map_version, Moment now) {
+void MasterEdits::run(const MapVersion& map_version, TimePoint now) {
   if (!election_.is_master() || is_open())
     return;
   end_those_of_earlier_terms();
@@ -126,11 +127,11 @@
     return;
   is_in_flight_ = true;
   for (const auto& worked_out : batch->edits)
-    in_flight_.insert(worked_out.ask.change);
+    in_flight_.insert(worked_out.request.change_id);
   counts_.edits += static_cast<std::int64_t>(batch->edits.size());
   ++counts_.writes;
-  Integer term = election_.term();
-  Integer last = map_version.term == term ? map_version.number : 0;
+  std::int64_t term = election_.term();
+  std::int64_t last = map_version.term == term ? map_version.number : 0;
   attempted_minimum_version_ = MapVersion{
       term, std::max({last, attempted_minimum_version_.number, proposer_.state().minimum_version.number}) + 1};
   last = attempted_minimum_version_.number - 1;
@@ -153,27 +154,27 @@
   for (const auto& edit : edits_) {
     if (edit.is_committed)
       continue;
-    tables += edit.ask.kind == traffic_kind ? 1 : 0;
+    tables += edit.request.kind == routing_table_kind ? 1 : 0;
     if (batch.edits.size() == batch_bound || tables > batch_table_bound)
       break;  // in order of arrival: none overtakes another
-    batch.edits.push_back({edit.ask, {}});
+    batch.edits.push_back({edit.request, {}});
   }
   return batch;
 }
 
-void MasterEdits::on_change_end(const EditBatch& batch, const ChangeEnd& ended, Moment now) {
+void MasterEdits::on_change_end(const EditBatch& batch, const ChangeEnd& ended, TimePoint now) {
   is_in_flight_ = false;
   in_flight_.clear();
   if (ended.kind == ChangeEnd::Kind::unknown)
     is_outcome_open_ = true;
   for (const auto& worked_out : batch.edits) {
     auto edit = std::find_if(edits_.begin(), edits_.end(), [&](const Edit& other) {
-      return other.ask.change == worked_out.ask.change && !other.is_committed;
+      return other.request.change_id == worked_out.request.change_id && !other.is_committed;
     });
     if (edit == edits_.end())
       continue;
-    if (worked_out.result.code == doubled_id_code && ended.kind == ChangeEnd::Kind::committed)
-      count_doubled_id(*edit, now);
+    if (worked_out.result.code == conflicting_id_code && ended.kind == ChangeEnd::Kind::committed)
+      count_conflicting_id(*edit, now);
     if (ended.kind == ChangeEnd::Kind::committed && worked_out.result.code < 300)
       commit(*edit, worked_out.result, ended.state, now);
     else
@@ -181,22 +182,22 @@
   }
 }
 
-void MasterEdits::commit(Edit& edit, const EditResult& result, const FleetState& state, Moment now) {
+void MasterEdits::commit(Edit& edit, const EditResult& result, const FleetState& state, TimePoint now) {
   edit.is_committed = true;
   edit.covered_by = state.minimum_version;
   Json body{{"version", result.version},
             {"config_revision", state.config_revision},
             {"map_version", show(state.minimum_version)},
             {"findings", Json::parse(findings_json(result.findings))}};
-  edit.answer = EditAnswer{0, result.code, result.version, json_text(body), 0, 0};
-  journal_.append(
-      now, "edit",
-      edit.ask.act + " " + edit.ask.kind + "/" + edit.ask.name + " version " + std::to_string(result.version));
+  edit.response = EditResponse{0, result.code, result.version, json_text(body), 0, 0};
+  journal_.append(now, "edit",
+                  edit.request.action + " " + edit.request.kind + "/" + edit.request.name + " version " +
+                      std::to_string(result.version));
 }
 
 // The next master, picked by highest state version, then has the acknowledged change too.
 void MasterEdits::settle(const MapVersion& map_version, const std::function<std::size_t(const MapVersion&)>& holders,
-                         Moment now) {
+                         TimePoint now) {
   std::size_t size = proposer_.has_state() ? proposer_.state().roster.size() : 0;
   for (std::size_t i = 0; i < edits_.size();) {
     Edit& edit = edits_[i];
@@ -204,11 +205,11 @@
       // In the term after a master that may still grant leases for its maps, not before its word has lapsed.
       bool is_early = lease_.is_waiting(now);
       if (is_early)
-        edit.deadline = std::max(edit.deadline, lease_.leading_since() + lease_.ack_wait() + Span{1000});
-      if (edit.hold.until.value > 0 && edit.from.empty())
-        edit.deadline = std::min(edit.deadline, edit.hold.until);
+        edit.deadline = std::max(edit.deadline, lease_.leading_since() + lease_.ack_wait() + Duration{1000});
+      if (edit.block.until.value > 0 && edit.from.empty())
+        edit.deadline = std::min(edit.deadline, edit.block.until);
       if (!is_early && holders(edit.covered_by) >= size / 2 + 1) {
-        end(i, edit.answer);
+        end(i, edit.response);
         continue;
       }
     }
@@ -217,27 +218,27 @@
       ++i;
       continue;
     }
-    EditAnswer answer;
-    answer.code = edit.is_committed ? 504 : 503;
-    answer.body = edit.is_committed ? reason_body("durable, but not yet seen in force; read it back", "unknown")
-                                    : reason_body("this daemon is master no more", "refused");
-    end(i, std::move(answer));
+    EditResponse response;
+    response.code = edit.is_committed ? 504 : 503;
+    response.body = edit.is_committed ? reason_body("durable, but not yet seen in force; read it back", "unknown")
+                                      : reason_body("this daemon is master no more", "refused");
+    end(i, std::move(response));
   }
 }
 
 void MasterEdits::end_all() {
   while (!edits_.empty()) {
     const Edit& edit = edits_.front();
-    bool may_be_durable = edit.is_committed || in_flight_.count(edit.ask.change) != 0;
-    EditAnswer answer;
-    answer.code = may_be_durable ? 504 : 503;
-    answer.body = may_be_durable ? reason_body("this daemon stops; read it back", "unknown")
-                                 : reason_body("this daemon stops", "refused");
-    end(0, std::move(answer));
+    bool may_be_durable = edit.is_committed || in_flight_.count(edit.request.change_id) != 0;
+    EditResponse response;
+    response.code = may_be_durable ? 504 : 503;
+    response.body = may_be_durable ? reason_body("this daemon stops; read it back", "unknown")
+                                   : reason_body("this daemon stops", "refused");
+    end(0, std::move(response));
   }
 }
 
-void MasterEdits::on_timer(Moment now) {
+void MasterEdits::on_timer(TimePoint now) {
   if (!is_outcome_open_ || is_in_flight_ || proposer_.changes_in_hand() != 0)
     return;
   // Carry whatever is newest through once more: then it is known whether ours was in.
@@ -249,7 +250,7 @@
         if (end.kind == ChangeEnd::Kind::committed)
           is_outcome_open_ = false;
       },
-      now, Span{2000});
+      now, Duration{2000});
 }
 
 }  // namespace emberdale
--- a/packages/control-plane/src/membership_reconciler.cpp
+++ b/packages/control-plane/src/membership_reconciler.cpp
@@ -4,21 +4,22 @@
 
 namespace emberdale {
 namespace {
-constexpr Span ask_pace{950};                // a learner is asked about once a second
-constexpr Span learner_memory{2200};         // one that has not answered for so long is gone again
-constexpr Span silent_span{2500};            // a replica that nobody has heard for so long is replaced...
-constexpr Span unreachable_span{10000};      // ...and one that others hear, but that never answers here, after this
-constexpr Span report_age{1200};             // the word of the replicas on who is silent counts for so long
-constexpr Span growth_wait{6000};            // a learner known for so long may grow the set
-constexpr Span founding_span{3000};          // so long after a founding, who was there at once is added at once...
-constexpr Span first_arrival{300};           // ...if it was known this soon after it
-constexpr Span answering_span{800};          // a replica that answered within this lives: a bit more than two polls
-constexpr Span dead_member_span{30000};      // a replica silent for so long may leave the set...
-constexpr Span even_dead_member_span{8000};  // ...sooner from a set of even size, where the majority gets smaller
-constexpr Span replacement_pause{3000};      // between a change of the set and the next replacement
-constexpr Span change_pause{10000};          // between a change of the set and any other that the master decides
-constexpr Span search_span{300};             // who leaves waits so long for the answers of possible successors
-constexpr Span longest_pause{1000};
+constexpr Duration request_interval{950};       // a learner is asked about once a second
+constexpr Duration learner_memory{2200};        // one that has not answered for so long is gone again
+constexpr Duration silence_timeout{2500};       // a replica that nobody has heard for so long is replaced...
+constexpr Duration unreachable_span{10000};     // ...and one that others hear, but that never answers here, after this
+constexpr Duration report_age{1200};            // the word of the replicas on who is silent counts for so long
+constexpr Duration growth_wait{6000};           // a learner known for so long may grow the set
+constexpr Duration bootstrap_duration{3000};    // so long after a founding, who was there at once is added at once...
+constexpr Duration first_arrival{300};          // ...if it was known this soon after it
+constexpr Duration response_window{800};        // a replica that answered within this lives: a bit more than two polls
+constexpr Duration dead_member_timeout{30000};  // a replica silent for so long may leave the set...
+constexpr Duration even_dead_member_timeout{
+    8000};                                   // ...sooner from a set of even size, where the majority gets smaller
+constexpr Duration replacement_pause{3000};  // between a change of the set and the next replacement
+constexpr Duration change_pause{10000};      // between a change of the set and any other that the master decides
+constexpr Duration search_span{300};         // who leaves waits so long for the answers of possible successors
+constexpr Duration longest_pause{1000};
 constexpr int most_overtaken = 2;
 
 bool is_same_set(const std::vector<AcceptorEntry>& a, const std::vector<AcceptorEntry>& b) {
@@ -41,37 +42,37 @@
   return false;
 }
 
-void MembershipReconciler::see_daemons(const std::vector<DaemonEntry>& daemons, Moment now) {
+void MembershipReconciler::observe_daemons(const std::vector<DaemonEntry>& daemons, TimePoint now) {
   for (const auto& daemon : daemons) {
     zones_[daemon.address] = daemon.zone;
     if (!proposer_.has_state() || is_in_set(daemon.address) || (is_leaving_ && !is_in_set(self_.address)))
       continue;
     auto asked = asked_.find(daemon.address);
-    if (asked != asked_.end() && now - asked->second < ask_pace)
+    if (asked != asked_.end() && now - asked->second < request_interval)
       continue;
     asked_[daemon.address] = now;
-    out_.push_back({daemon.address, ReadAsk{ask_, "data", proposer_.ballot(), false, false}});
+    out_.push_back({daemon.address, ReadRequest{ask_, "data", proposer_.ballot(), false, false}});
   }
 }
 
-void MembershipReconciler::on_message(const Address& from, const Message& message, Moment now) {
-  if (std::holds_alternative<Leave>(message))
+void MembershipReconciler::on_message(const Address& from, const Message& message, TimePoint now) {
+  if (std::holds_alternative<LeaveNotice>(message))
     learners_.erase(from);
   if (const auto* accepted = std::get_if<Accepted>(&message))
     on_accepted(from, *accepted);
-  const auto* answer = std::get_if<ReadAnswer>(&message);
-  if (answer == nullptr || answer->store.empty())
+  const auto* response = std::get_if<ReadResponse>(&message);
+  if (response == nullptr || response->store.empty())
     return;
-  answered_[from] = {answer->store, answer->accepted, now};
-  if (answer->ask != ask_ || is_in_set(from))
+  answered_[from] = {response->store, response->accepted, now};
+  if (response->request_id != ask_ || is_in_set(from))
     return;
-  Learner fresh{answer->store, now, now, answer->accepted, now, 0};
+  Learner fresh{response->store, now, now, response->accepted, now, 0};
   auto [entry, is_new] = learners_.insert({from, fresh});
   Learner& learner = entry->second;
-  if (learner.store != answer->store)
+  if (learner.store != response->store)
     learner = fresh;
   learner.heard = now;
-  learner.accepted = answer->accepted;
+  learner.accepted = response->accepted;
   sync_learner(from, learner);
 }
 
@@ -94,7 +95,7 @@
     out_.push_back({address, Accept{0, learner.store, proposer_.ballot(), proposer_.state_bytes()}});
 }
 
-void MembershipReconciler::watch_set(Moment now) {
+void MembershipReconciler::watch_set(TimePoint now) {
   const FleetState& state = proposer_.state();
   if (!is_same_set(watched_set_, state.acceptors)) {
     bool is_first = watched_set_.empty();
@@ -113,7 +114,7 @@
   }
 }
 
-void MembershipReconciler::on_timer(Moment now) {
+void MembershipReconciler::on_timer(TimePoint now) {
   if (now - timer_at_ > longest_pause)
     awake_since_ = now;
   timer_at_ = now;
@@ -133,7 +134,7 @@
     }
   }
   for (auto entry = asked_.begin(); entry != asked_.end();) {
-    if (now - entry->second > dead_member_span)
+    if (now - entry->second > dead_member_timeout)
       entry = asked_.erase(entry);
     else
       ++entry;
@@ -141,8 +142,8 @@
 }
 
 // A wiped machine answers as another store: that is not silence, it is admitted in its own place.
-Span MembershipReconciler::silence(const AcceptorEntry& entry, Moment now) const {
-  Moment last = awake_since_;
+Duration MembershipReconciler::silence(const AcceptorEntry& entry, TimePoint now) const {
+  TimePoint last = awake_since_;
   auto since = member_since_.find(entry.address);
   last = std::max(last, since == member_since_.end() ? now : since->second);
   auto answered = answered_.find(entry.address);
@@ -152,20 +153,20 @@
 }
 
 // How long no replica of a majority has heard that daemon; zero while that is not known.
-Span MembershipReconciler::reported_silence(const Address& address, Moment now) const {
+Duration MembershipReconciler::reported_silence(const Address& address, TimePoint now) const {
   const auto& silences = proposer_.silences();
   if (!silences || now - proposer_.silences_at() > report_age)
-    return Span{0};
+    return Duration{0};
   auto watched = silences->find(Address{});
   if (watched == silences->end())
-    return Span{0};
+    return Duration{0};
   auto silence = silences->find(address);
   return silence == silences->end() ? watched->second : std::min(watched->second, silence->second);
 }
 
-std::vector<MemberView> MembershipReconciler::members(Moment now) const {
+std::vector<MemberView> MembershipReconciler::members(TimePoint now) const {
   const std::vector<AcceptorEntry>& set = proposer_.state().acceptors;
-  Span long_dead = set.size() % 2 == 0 ? even_dead_member_span : dead_member_span;
+  Duration long_dead = set.size() % 2 == 0 ? even_dead_member_timeout : dead_member_timeout;
   // Who is cut off from its master alone sees that master as silent: it has no right to replace it.
   bool may_judge_alone = right_.kind == DecisionRight::Kind::master && now - set_changed_at_ >= change_pause;
   std::vector<MemberView> views;
@@ -175,19 +176,19 @@
     auto zone = zones_.find(entry.address);
     if (zone != zones_.end())
       view.zone = zone->second;
-    Span silent_here = silence(entry, now), silent = std::min(silent_here, reported_silence(entry.address, now));
+    Duration silent_here = silence(entry, now), silent = std::min(silent_here, reported_silence(entry.address, now));
     auto answered = answered_.find(entry.address);
     view.is_answering =
-        silent_here <= answering_span && answered != answered_.end() && answered->second.store == entry.store;
-    view.is_dead = silent >= silent_span || (may_judge_alone && silent_here >= unreachable_span);
-    view.is_long_dead = silent >= silent_span && silent_here >= long_dead;
+        silent_here <= response_window && answered != answered_.end() && answered->second.store == entry.store;
+    view.is_dead = silent >= silence_timeout || (may_judge_alone && silent_here >= unreachable_span);
+    view.is_long_dead = silent >= silence_timeout && silent_here >= long_dead;
     views.push_back(view);
   }
   return views;
 }
 
-std::vector<LearnerView> MembershipReconciler::learners(Moment now) const {
-  bool was_just_founded = now - founded_at_ <= founding_span;
+std::vector<LearnerView> MembershipReconciler::learners(TimePoint now) const {
+  bool was_just_founded = now - bootstrapped_at_ <= bootstrap_duration;
   std::vector<LearnerView> views;
   for (const auto& [address, learner] : learners_) {
     if (!may_join(learner) || learner.heard < awake_since_ ||
@@ -200,8 +201,8 @@
       view.zone = zone->second;
     view.is_synced = learner.accepted == proposer_.ballot();
     view.is_awaited =
-        now - learner.since >= growth_wait || (was_just_founded && learner.since <= founded_at_ + first_arrival);
-    view.is_answering = now - learner.heard <= answering_span;
+        now - learner.since >= growth_wait || (was_just_founded && learner.since <= bootstrapped_at_ + first_arrival);
+    view.is_answering = now - learner.heard <= response_window;
     views.push_back(view);
   }
   return views;
@@ -224,10 +225,10 @@
 
 // A write may get past the data of a learner that are above all that is chosen here, if they are this register's;
 // and past what it has promised.
-std::optional<SetChange> MembershipReconciler::due_overtaking(Moment now) {
+std::optional<SetChange> MembershipReconciler::due_overtaking(TimePoint now) {
   for (auto& [address, learner] : learners_) {
     bool is_long_above =
-        !may_join(learner) && now - learner.joinable_at >= Span{growth_wait.value * (learner.overtaken + 1)};
+        !may_join(learner) && now - learner.joinable_at >= Duration{growth_wait.value * (learner.overtaken + 1)};
     if (learner.overtaken == most_overtaken || (!is_long_above && !learner.is_refusing))
       continue;
     ++learner.overtaken;
@@ -240,7 +241,7 @@
   return std::nullopt;
 }
 
-std::optional<MembershipChange> MembershipReconciler::plan(Moment now) const {
+std::optional<MembershipChange> MembershipReconciler::plan(TimePoint now) const {
   std::vector<MemberView> members = this->members(now);
   std::vector<LearnerView> learners = this->learners(now);
   std::optional<MembershipChange> planned;
@@ -249,7 +250,7 @@
       if (entry.address == self_.address)
         planned = plan_hand_over(entry, members, learners, policy_);
   } else if (right_.kind != DecisionRight::Kind::none) {
-    bool is_rested = now - set_changed_at_ >= change_pause || now - founded_at_ <= founding_span;
+    bool is_rested = now - set_changed_at_ >= change_pause || now - bootstrapped_at_ <= bootstrap_duration;
     if (now - set_changed_at_ >= replacement_pause)
       planned = plan_replacement(members, learners);
     if (!planned && is_rested)
@@ -262,8 +263,8 @@
   return planned;
 }
 
-std::optional<SetChange> MembershipReconciler::due_change(Moment now) {
-  bool is_state_confirmed = proposer_.has_state() && now - proposer_.confirmed_at() <= silent_span;
+std::optional<SetChange> MembershipReconciler::due_change(TimePoint now) {
+  bool is_state_confirmed = proposer_.has_state() && now - proposer_.confirmed_at() <= silence_timeout;
   if (!is_state_confirmed || !proposer_.state().next_acceptors.empty())
     return std::nullopt;
   if (!is_in_set(self_.address) && right_.kind != DecisionRight::Kind::master)
@@ -280,20 +281,20 @@
 }
 
 std::optional<SetChange> MembershipReconciler::readmission(const AcceptorEntry& wiped, const StoreId& fresh,
-                                                           Moment now) const {
+                                                           TimePoint now) const {
   MembershipChange change{{wiped}, {AcceptorEntry{fresh, wiped.address}}, "admitting"};
   if (!proposer_.state().next_acceptors.empty() || !is_borne_by_living(change, members(now), {}))
     return std::nullopt;
   return guarded(change, DecisionRight{});
 }
 
-void MembershipReconciler::begin_leaving(Moment now) {
+void MembershipReconciler::begin_leaving(TimePoint now) {
   is_leaving_ = true;
   leaving_since_ = now;
   asked_.clear();
 }
 
-bool MembershipReconciler::is_handing_over(Moment now) const {
+bool MembershipReconciler::is_handing_over(TimePoint now) const {
   if (!proposer_.has_state())
     return false;
   if (is_in_set(self_.address)) {
--- a/packages/control-plane/src/roster_keeper.cpp
+++ b/packages/control-plane/src/membership_registry.cpp
@@ -1,22 +1,22 @@
-#include "emberdale/roster_keeper.hpp"
+#include "emberdale/membership_registry.hpp"
 
 #include <algorithm>
 
 namespace emberdale {
 namespace {
-constexpr Span dead_member_span_starved{3500};
+constexpr Duration dead_member_timeout_without_quorum{3500};
 
 bool has_daemon(const std::vector<DaemonEntry>& roster, const Address& address) {
   return std::any_of(roster.begin(), roster.end(), [&](const auto& entry) { return entry.address == address; });
 }
 }  // namespace
 
-void RosterKeeper::enrol(const std::vector<DaemonEntry>& heard, Moment now) {
+void MembershipRegistry::enrol(const std::vector<DaemonEntry>& heard, TimePoint now) {
   if (is_enrolling_ || !proposer_.has_state() || now < enrol_next_)
     return;
   auto is_same = [self = self_](const DaemonEntry& entry) {
     return entry.address == self.address && entry.zone == self.zone && entry.region == self.region &&
-           entry.http == self.http;
+           entry.http_address == self.http_address;
   };
   const auto& roster = proposer_.state().roster;
   if (std::any_of(roster.begin(), roster.end(), is_same)) {
@@ -26,7 +26,7 @@
   if (!has_waited_) {
     // In a crowd one daemon goes first and brings the others along.
     has_waited_ = true;
-    enrol_next_ = now + Span{random_.below(60 + 12 * static_cast<std::int64_t>(heard.size()))};
+    enrol_next_ = now + Duration{random_.below(60 + 12 * static_cast<std::int64_t>(heard.size()))};
     return;
   }
   is_enrolling_ = true;
@@ -54,23 +54,24 @@
       },
       [this, now](const ChangeEnd& end) {
         is_enrolling_ = false;
-        enrol_next_ = now + Span{200 + random_.below(400)};
+        enrol_next_ = now + Duration{200 + random_.below(400)};
         if (end.kind != ChangeEnd::Kind::committed)
           return;
         ++counts_.enrolled;
         journal_.append(now, "enrolled", self_.address.text);
       },
-      now, Span{3000});
+      now, Duration{3000});
 }
 
-void RosterKeeper::evict_dead_members(int starved_rounds, bool is_master, Moment now) {
+void MembershipRegistry::evict_dead_members(int rounds_without_quorum, bool is_master, TimePoint now) {
   if (is_evicting_ || now < evict_next_ || !proposer_.silences())
     return;
-  bool is_starved = starved_rounds >= 1;
+  bool is_starved = rounds_without_quorum >= 1;
   if (!is_starved && !is_master)
     return;
-  evict_next_ = now + Span{500 + random_.below(500)};
-  Span span = is_starved ? std::min(dead_member_span_starved, dead_member_span_) : dead_member_span_;
+  evict_next_ = now + Duration{500 + random_.below(500)};
+  Duration span =
+      is_starved ? std::min(dead_member_timeout_without_quorum, dead_member_timeout_) : dead_member_timeout_;
   const auto& silences = *proposer_.silences();
   auto watched = silences.find(Address{});
   if (watched == silences.end() || watched->second < span)
@@ -106,7 +107,7 @@
           journal_.append(now, "evicted", dead_member.text);
         }
       },
-      now, Span{2000});
+      now, Duration{2000});
 }
 
 }  // namespace emberdale
--- a/packages/control-plane/src/core_set.cpp
+++ b/packages/control-plane/src/replica_set_manager.cpp
@@ -1,4 +1,4 @@
-#include "emberdale/core_set.hpp"
+#include "emberdale/replica_set_manager.hpp"
 
 #include <algorithm>
 
@@ -6,8 +6,8 @@
 
 namespace emberdale {
 
-void CoreSet::found(const std::string& fleet, const std::vector<Address>& cores, Done done, Moment now) {
-  if (founding_)
+void ReplicaSetManager::found(const std::string& fleet, const std::vector<Address>& cores, Done done, TimePoint now) {
+  if (bootstrap_)
     return done(409, "a founding is under way");
   if (proposer_.has_state() || !proposer_.acceptors().empty())
     return done(409, "a fleet is known here already: it is never founded again");
@@ -16,86 +16,87 @@
   std::set<Address> distinct(cores.begin(), cores.end());
   if (cores.size() < 3 || distinct.size() != cores.size())
     return done(400, "three different core machines must be named");
-  founding_ = Founding{fleet, cores, {}, {}, {}, now + Span{3000}, std::move(done), ++last_ask_};
+  bootstrap_ = Bootstrap{fleet, cores, {}, {}, {}, now + Duration{3000}, std::move(done), ++last_request_id_};
   for (const auto& core : cores)
-    out_.push_back({core, ReadAsk{founding_->ask, role_, Ballot{}, false, false}});
+    out_.push_back({core, ReadRequest{bootstrap_->ask, role_, Ballot{}, false, false}});
 }
 
-void CoreSet::replace(const Address& old_address, const Address& new_address, Done done, Moment now) {
+void ReplicaSetManager::replace(const Address& old_address, const Address& new_address, Done done, TimePoint now) {
   if (replacing_)
     return done(409, "a replacement is under way here");
   if (!proposer_.has_state())
     return done(503, "no register is known here");
-  replacing_ = Replacing{old_address, new_address, {}, now + Span{8000}, std::move(done), ++last_ask_, false};
-  out_.push_back({new_address, ReadAsk{replacing_->ask, role_, Ballot{}, false, false}});
+  replacing_ =
+      Replacing{old_address, new_address, {}, now + Duration{8000}, std::move(done), ++last_request_id_, false};
+  out_.push_back({new_address, ReadRequest{replacing_->ask, role_, Ballot{}, false, false}});
 }
 
-void CoreSet::on_message(const Address& from, const Message& message, Moment now) {
-  if (const auto* answer = std::get_if<ReadAnswer>(&message))
-    on_read(from, *answer, now);
-  if (const auto* answer = std::get_if<FoundAnswer>(&message))
-    on_founded(from, *answer, now);
+void ReplicaSetManager::on_message(const Address& from, const Message& message, TimePoint now) {
+  if (const auto* response = std::get_if<ReadResponse>(&message))
+    on_read(from, *response, now);
+  if (const auto* response = std::get_if<BootstrapResponse>(&message))
+    on_bootstrapped(from, *response, now);
 }
 
-void CoreSet::end_founding(int code, const std::string& reason) {
-  auto done = std::move(founding_->done);
-  founding_.reset();
+void ReplicaSetManager::end_bootstrap(int code, const std::string& reason) {
+  auto done = std::move(bootstrap_->done);
+  bootstrap_.reset();
   done(code, reason);
 }
 
-void CoreSet::on_read(const Address& from, const ReadAnswer& answer, Moment now) {
-  if (founding_ && answer.ask == founding_->ask) {
-    if (answer.store.empty())
-      return end_founding(409, from.text + " keeps no store");
-    if (!answer.blank)
-      return end_founding(409, from.text + " already holds a register");
-    founding_->stores[from] = answer.store;
-    if (founding_->stores.size() == founding_->cores.size() && founding_->value.data.empty()) {
+void ReplicaSetManager::on_read(const Address& from, const ReadResponse& response, TimePoint now) {
+  if (bootstrap_ && response.request_id == bootstrap_->ask) {
+    if (response.store.empty())
+      return end_bootstrap(409, from.text + " keeps no store");
+    if (!response.blank)
+      return end_bootstrap(409, from.text + " already holds a register");
+    bootstrap_->stores[from] = response.store;
+    if (bootstrap_->stores.size() == bootstrap_->cores.size() && bootstrap_->value.data.empty()) {
       FleetState state;
-      state.fleet = founding_->fleet;
+      state.fleet_name = bootstrap_->fleet;
       state.version = 1;
-      for (const auto& [address, store] : founding_->stores)
+      for (const auto& [address, store] : bootstrap_->stores)
         state.acceptors.push_back({store, address});
-      founding_->value.data = encode_state(state);
-      for (const auto& [address, store] : founding_->stores)
-        out_.push_back({address, Found{founding_->ask, store, founding_->value}});
+      bootstrap_->value.data = encode_state(state);
+      for (const auto& [address, store] : bootstrap_->stores)
+        out_.push_back({address, BootstrapRequest{bootstrap_->ask, store, bootstrap_->value}});
     }
   }
-  if (replacing_ && !replacing_->is_asked && answer.ask == replacing_->ask && from == replacing_->new_address)
-    begin_replacing(answer, now);
+  if (replacing_ && !replacing_->is_asked && response.request_id == replacing_->ask && from == replacing_->new_address)
+    begin_replacing(response, now);
   // A core machine's address that answers as another, blank store: the old one is gone.
   for (const auto& entry : proposer_.acceptors())
-    if (entry.address == from && !answer.store.empty()) {
-      if ((answer.blank ||
-           (reconciler_ != nullptr && proposer_.has_state() && !(proposer_.ballot() < answer.accepted))) &&
-          entry.store != answer.store)
-        blank_stores_[from] = answer.store;
+    if (entry.address == from && !response.store.empty()) {
+      if ((response.blank ||
+           (reconciler_ != nullptr && proposer_.has_state() && !(proposer_.ballot() < response.accepted))) &&
+          entry.store != response.store)
+        blank_stores_[from] = response.store;
       else
         blank_stores_.erase(from);
     }
 }
 
-void CoreSet::on_founded(const Address& from, const FoundAnswer& answer, Moment now) {
-  if (!founding_ || answer.ask != founding_->ask)
+void ReplicaSetManager::on_bootstrapped(const Address& from, const BootstrapResponse& response, TimePoint now) {
+  if (!bootstrap_ || response.request_id != bootstrap_->ask)
     return;
-  if (!answer.granted)
-    return end_founding(409, from.text + ": " + answer.reason);
-  founding_->granted.insert(answer.store);
-  if (founding_->granted.size() != founding_->cores.size())
+  if (!response.granted)
+    return end_bootstrap(409, from.text + ": " + response.reason);
+  bootstrap_->granted.insert(response.store);
+  if (bootstrap_->granted.size() != bootstrap_->cores.size())
     return;
-  auto state = decode_state(founding_->value.data);
+  auto state = decode_state(bootstrap_->value.data);
   if (state)
     proposer_.learn_acceptors(state->acceptors);
-  was_founded_ = true;
-  journal_.append(now, "founded", founding_->fleet);
-  end_founding(201, "founded");
+  was_bootstrapped_ = true;
+  journal_.append(now, "founded", bootstrap_->fleet);
+  end_bootstrap(201, "founded");
 }
 
-void CoreSet::begin_replacing(const ReadAnswer& answer, Moment now) {
+void ReplicaSetManager::begin_replacing(const ReadResponse& response, TimePoint now) {
   replacing_->is_asked = true;
-  replacing_->new_store = answer.store;
-  auto change = [old = replacing_->old_address, fresh = AcceptorEntry{answer.store, replacing_->new_address},
-                 is_blank = answer.blank](const FleetState& state) -> Verdict {
+  replacing_->new_store = response.store;
+  auto change = [old = replacing_->old_address, fresh = AcceptorEntry{response.store, replacing_->new_address},
+                 is_blank = response.blank](const FleetState& state) -> Verdict {
     auto refuse = [](const std::string& why) {
       return Verdict{Verdict::Kind::refuse, {}, why};
     };
@@ -129,13 +130,13 @@
     return {Verdict::Kind::apply, next, ""};
   };
   proposer_.change(
-      std::move(change), [this](const ChangeEnd& end) { end_replacing(end); }, now, Span{4000});
+      std::move(change), [this](const ChangeEnd& end) { end_replacing(end); }, now, Duration{4000});
 }
 
-void CoreSet::end_replacing(const ChangeEnd& end) {
+void ReplicaSetManager::end_replacing(const ChangeEnd& end) {
   if (!replacing_)
     return;
-  mend_next_ = Moment{0};  // the second half at once
+  repair_next_ = TimePoint{0};  // the second half at once
   bool is_whole = end.kind == ChangeEnd::Kind::committed && end.state.next_acceptors.empty();
   if (end.kind == ChangeEnd::Kind::committed && !is_whole)
     return;  // answered once the new set stands alone
@@ -151,7 +152,7 @@
     done(504, end.reason);
 }
 
-void CoreSet::on_state() {
+void ReplicaSetManager::on_state() {
   const FleetState& state = proposer_.state();
   bool is_whole = replacing_ && state.next_acceptors.empty() &&
                   std::any_of(state.acceptors.begin(), state.acceptors.end(),
@@ -164,7 +165,7 @@
 }
 
 // A machine of the set that answers as another, blank store: its disk is gone, and its new store is due in its place.
-std::optional<SetChange> CoreSet::due_readmission(Moment now) const {
+std::optional<SetChange> ReplicaSetManager::due_readmission(TimePoint now) const {
   for (const auto& old : proposer_.state().acceptors) {
     auto fresh = blank_stores_.find(old.address);
     if (fresh == blank_stores_.end() || fresh->second == old.store)
@@ -187,7 +188,7 @@
   return std::nullopt;
 }
 
-std::optional<SetChange> CoreSet::due_change(Moment now) {
+std::optional<SetChange> ReplicaSetManager::due_change(TimePoint now) {
   if (!proposer_.state().next_acceptors.empty()) {
     auto second_half = [](const FleetState& found) -> Verdict {
       if (found.next_acceptors.empty())
@@ -206,34 +207,35 @@
 
 // The daemons with an acceptor, and all that reconcile the set, finish a joint change that was left half-way, and
 // begin one that is due.
-void CoreSet::mend(Moment now) {
+void ReplicaSetManager::repair(TimePoint now) {
   if (!has_acceptor_ && !replacing_ && reconciler_ == nullptr)
     return;
-  if (is_mending_ || now < mend_next_ || !proposer_.has_state())
+  if (is_repairing_ || now < repair_next_ || !proposer_.has_state())
     return;
-  mend_next_ = now + (reconciler_ == nullptr ? Span{1000 + random_.below(1500)} : Span{100 + random_.below(200)});
+  repair_next_ =
+      now + (reconciler_ == nullptr ? Duration{1000 + random_.below(1500)} : Duration{100 + random_.below(200)});
   auto due = due_change(now);
   if (!due)
     return;
   if (!due->kind.empty())
     journal_.append(now, due->kind, due->detail);
-  is_mending_ = true;
+  is_repairing_ = true;
   proposer_.change(
       std::move(due->change),
       [this](const ChangeEnd&) {
-        is_mending_ = false;
-        mend_next_ = Moment{0};
+        is_repairing_ = false;
+        repair_next_ = TimePoint{0};
       },
-      now, Span{3000});
+      now, Duration{3000});
 }
 
-void CoreSet::on_timer(Moment now) {
-  mend(now);
-  if (founding_ && founding_->deadline <= now) {
-    bool was_sent = !founding_->value.data.empty();
-    end_founding(was_sent ? 504 : 503, was_sent
-                                           ? "not all core machines confirmed in time; found again with the same words"
-                                           : "not all core machines answered");
+void ReplicaSetManager::on_timer(TimePoint now) {
+  repair(now);
+  if (bootstrap_ && bootstrap_->deadline <= now) {
+    bool was_sent = !bootstrap_->value.data.empty();
+    end_bootstrap(was_sent ? 504 : 503, was_sent
+                                            ? "not all core machines confirmed in time; found again with the same words"
+                                            : "not all core machines answered");
   }
   if (replacing_ && replacing_->deadline <= now) {
     auto done = std::move(replacing_->done);
--- a/packages/control-plane/src/runner_watch.cpp
+++ b/packages/control-plane/src/runner_health_monitor.cpp
@@ -1,12 +1,12 @@
-#include "emberdale/runner_watch.hpp"
+#include "emberdale/runner_health_monitor.hpp"
 
-#include "emberdale/map_slices.hpp"
 #include "emberdale/placement_map.hpp"
+#include "emberdale/placement_slices.hpp"
 
 namespace emberdale {
 
-void RunnerWatch::wish_probes(const Configuration& configuration, const std::vector<std::string>& live_edges,
-                              bool is_master, Moment now) {
+void RunnerHealthMonitor::schedule_probes(const Configuration& configuration,
+                                          const std::vector<std::string>& live_edges, bool is_master, TimePoint now) {
   std::map<PoolName, bool> homes;
   for (const auto& runner : configuration.runners) {
     bool is_mine = false;
@@ -19,8 +19,8 @@
       is_mine = entry->second;
     }
     if (!is_mine && is_master)
-      is_mine = now - known_[runner.name].at > status_span;
-    Moment& next = next_[runner.name];
+      is_mine = now - known_[runner.name].at > status_lifetime;
+    TimePoint& next = next_[runner.name];
     if (!is_mine || now < next)
       continue;
     next = now + probe_pace_;
@@ -29,46 +29,47 @@
   }
 }
 
-bool RunnerWatch::on_probe(const RunnerStatus& status, Moment now) {
+bool RunnerHealthMonitor::on_probe(const RunnerStatus& status, TimePoint now) {
   auto before = own_.find(status.name);
-  bool is_new = before == own_.end() || before->second.status.answers != status.answers ||
-                before->second.status.cold != status.cold || before->second.status.incarnation != status.incarnation;
+  bool is_new = before == own_.end() || before->second.status.is_reachable != status.is_reachable ||
+                before->second.status.is_warming_up != status.is_warming_up ||
+                before->second.status.incarnation != status.incarnation;
   own_[status.name] = known_[status.name] = {status, now};
   return is_new;
 }
 
-void RunnerWatch::on_report(const RunnerStatus& status, Moment now) {
+void RunnerHealthMonitor::on_report(const RunnerStatus& status, TimePoint now) {
   View& view = known_[status.name];
-  Moment at{now.value - status.age};
+  TimePoint at{now.value - status.age_ms};
   if (view.at <= at)
     view = {status, at};
 }
 
-std::vector<RunnerStatus> RunnerWatch::reports(Moment now) const {
+std::vector<RunnerStatus> RunnerHealthMonitor::reports(TimePoint now) const {
   std::vector<RunnerStatus> list;
   for (const auto& [name, view] : own_) {
-    Span age = now - view.at;
-    if (age > status_span)
+    Duration age = now - view.at;
+    if (age > status_lifetime)
       continue;
     list.push_back(view.status);
-    list.back().age = age.value;
+    list.back().age_ms = age.value;
   }
   return list;
 }
 
-void RunnerWatch::inherit(const PlacementMap& map, Moment now) {
+void RunnerHealthMonitor::inherit(const PlacementMap& map, TimePoint now) {
   for (const auto& row : map.runners) {
     auto known = known_.find(row.name);
-    if (known != known_.end() && now - known->second.at <= status_span)
+    if (known != known_.end() && now - known->second.at <= status_lifetime)
       continue;
     RunnerStatus status{
         row.name, row.status != "down", row.status == "cold", row.incarnation, row.capacity, row.load, row.allowance,
         0};
-    known_[row.name] = {status, Moment{now.value - status_span.value / 2}};
+    known_[row.name] = {status, TimePoint{now.value - status_lifetime.value / 2}};
   }
 }
 
-std::map<RunnerName, RunnerStatus> RunnerWatch::statuses() const {
+std::map<RunnerName, RunnerStatus> RunnerHealthMonitor::statuses() const {
   std::map<RunnerName, RunnerStatus> list;
   for (const auto& [name, view] : known_)
     if (!view.status.name.empty())
--- a/packages/control-plane/src/runner_list.cpp
+++ b/packages/control-plane/src/runner_list.cpp
@@ -4,7 +4,7 @@
 
 namespace emberdale {
 
-void RunnerList::begin(Moment now) {
+void RunnerList::begin(TimePoint now) {
   runners_.clear();
   taken_back_.clear();
   is_known_ = is_reading_ = false;
@@ -12,16 +12,16 @@
   read_next_ = now;
 }
 
-bool RunnerList::is_read_due(Moment now) {
+bool RunnerList::is_read_due(TimePoint now) {
   if (now < read_next_ || (is_reading_ && now < read_until_))
     return false;
   is_reading_ = true;
   read_next_ = now + read_pace;
-  read_until_ = now + Span{3000};  // a reading that never ends is begun anew
+  read_until_ = now + Duration{3000};  // a reading that never ends is begun anew
   return true;
 }
 
-void RunnerList::take(std::vector<ListedRunner> runners, Moment begun, Moment now) {
+void RunnerList::take(std::vector<ListedRunner> runners, TimePoint begun, TimePoint now) {
   is_reading_ = false;
   if (runners.empty() && !runners_.empty() && ++empty_lists_ < 3)
     return;
@@ -36,8 +36,8 @@
       listed = known->second;
     else
       listed.listed = now;
-    Moment cold_until = runner.cold_left.value > 0 ? begun + runner.cold_left : Moment{0};
-    listed.cold_until = std::max(listed.cold_until, cold_until);
+    TimePoint warming_up_until = runner.warmup_left.value > 0 ? begun + runner.warmup_left : TimePoint{0};
+    listed.warming_up_until = std::max(listed.warming_up_until, warming_up_until);
     listed.runner = std::move(runner);
     RunnerName name = listed.runner.name;
     next[name] = std::move(listed);
@@ -67,20 +67,22 @@
   return entries;
 }
 
-void RunnerList::fill(std::map<RunnerName, RunnerStatus>& statuses, const std::map<PoolName, TrafficPool>& pools,
-                      Moment now) const {
+void RunnerList::fill(std::map<RunnerName, RunnerStatus>& statuses, const std::map<PoolName, RoutePool>& pools,
+                      TimePoint now) const {
   for (const auto& [name, listed] : runners_) {
     auto known = statuses.find(name);
     RunnerStatus status;
     status.name = name;
-    status.answers = known == statuses.end() || known->second.answers;  // listed, and nothing speaks against it
+    status.is_reachable =
+        known == statuses.end() || known->second.is_reachable;  // listed, and nothing speaks against it
     auto pool = pools.find(listed.runner.pool);
-    double cold_per_s = pool == pools.end() ? 0 : pool->second.cold_per_s;
-    bool is_said_cold = known != statuses.end() && known->second.cold;
+    double warmup_requests_per_s = pool == pools.end() ? 0 : pool->second.warmup_requests_per_s;
+    bool is_reported_warming_up = known != statuses.end() && known->second.is_warming_up;
     bool is_suspect = taken_back_.count(listed.runner.zone) != 0;
-    status.cold = cold_per_s > 0 && (is_said_cold || is_suspect || now < listed.cold_until);
+    status.is_warming_up =
+        warmup_requests_per_s > 0 && (is_reported_warming_up || is_suspect || now < listed.warming_up_until);
     status.capacity = listed.runner.slots > 0 ? listed.runner.slots : 8;
-    status.allowance = static_cast<Integer>(cold_per_s);
+    status.allowance = static_cast<std::int64_t>(warmup_requests_per_s);
     statuses[name] = status;
   }
 }
--- a/packages/control-plane/tests/catch_up_test.cpp
+++ b/packages/control-plane/tests/catch_up_test.cpp
@@ -27,19 +27,19 @@
   return body + "]}";
 }
 
-std::string amendment(Integer revision) {
+std::string amendment(std::int64_t revision) {
   return R"({"revision":)" + std::to_string(revision) + R"(,"upsert":{"routes":[)" +
          route(static_cast<int>(revision) % routes, 8000 + static_cast<int>(revision)) + "]}}";
 }
 
 // Changes the table at one machine, and waits until that is acknowledged.
-bool change_table(MachineFleet& fleet, const std::string& where, const std::string& act, Integer base,
+bool change_table(MachineFleet& fleet, const std::string& where, const std::string& act, std::int64_t base,
                   const std::string& body) {
-  Integer code = 0;
-  fleet.act(where, [&](ControlDaemon& daemon, Moment now) {
-    EditAsk ask{0, "table-" + std::to_string(base), act, traffic_kind, traffic_name, base, body};
+  std::int64_t code = 0;
+  fleet.act(where, [&](ControlDaemon& daemon, TimePoint now) {
+    EditRequest request{0, "table-" + std::to_string(base), act, routing_table_kind, routing_table_name, base, body};
     daemon.edit(
-        ask, [&](const EditAnswer& answer) { code = answer.code; }, now);
+        request, [&](const EditResponse& response) { code = response.code; }, now);
   });
   fleet.run_until([&] { return code != 0; }, 10000);
   return code == 200 || code == 201;
@@ -49,24 +49,24 @@
 
 // What a machine that comes back said until it had the newest state.
 struct Watch {
-  Integer newest_state = 0;
+  std::int64_t newest_state = 0;
   MapVersion newest_map;
   int old_slices = 0, old_reads = 0, reads = 0, led_with_old_map = 0;
 };
 
 void watch(MachineFleet& fleet, const std::string& late, const std::shared_ptr<Watch>& seen) {
   fleet.on_send = [seen, late](const std::string& from, const Address&, const Message& message) {
-    const auto* news = std::get_if<SliceNews>(&message);
-    if (news != nullptr && from == late && news->version < seen->newest_map)
+    const auto* update = std::get_if<SliceUpdate>(&message);
+    if (update != nullptr && from == late && update->version < seen->newest_map)
       ++seen->old_slices;
   };
   auto step = std::make_shared<std::function<void()>>();
   *step = [&fleet, late, seen, step] {
-    fleet.act(late, [&](ControlDaemon& daemon, Moment now) {
+    fleet.act(late, [&](ControlDaemon& daemon, TimePoint now) {
       Subscribe subscribe;
       subscribe.sender = DaemonEntry{Address{"10.0.1.1:7001"}, "http-d", "data", ZoneName{"a"}, RegionName{"north"}, 1};
       subscribe.topics.push_back({plans_topic, MapVersion{}});
-      subscribe.stamp = 1;
+      subscribe.sent_at = 1;
       daemon.on_message(subscribe.sender.address, subscribe, now);
       daemon.read(
           [seen](const FleetState* state) {
@@ -82,7 +82,7 @@
 }
 
 struct Speed {
-  std::int64_t link_delay, disk_slowness;
+  std::int64_t connection_delay, disk_slowness;
   int changes;
 };
 
@@ -90,7 +90,7 @@
 
 TEST(CatchUp, AMachineThatWasDownThroughHundredsOfChangesTakesTheNewestValueAlone) {
   for (Speed speed : {Speed{1, 1, 400}, Speed{30, 1, 40}, Speed{1, 30, 40}}) {
-    SCOPED_TRACE("delay " + std::to_string(speed.link_delay) + " disk " + std::to_string(speed.disk_slowness));
+    SCOPED_TRACE("delay " + std::to_string(speed.connection_delay) + " disk " + std::to_string(speed.disk_slowness));
     MachineFleet fleet(21);
     fleet.segment_bound = 1 << 20;
     auto names = bring_up(fleet, 3);
@@ -107,7 +107,7 @@
     std::size_t value = value_size(fleet, master);
     EXPECT_GT(value, 300000u);
 
-    fleet.delay = speed.link_delay;
+    fleet.delay = speed.connection_delay;
     fleet.at(late).disk_slowness = speed.disk_slowness;
     fleet.run(1000);
     auto seen = std::make_shared<Watch>();
@@ -133,7 +133,7 @@
     std::int64_t all_after = fleet.now() - started;
     std::int64_t bytes = fleet.at(late).received;
     fleet.run(5000);
-    std::cout << speed.changes << " changes, links " << speed.link_delay << " ms, disk x" << speed.disk_slowness
+    std::cout << speed.changes << " changes, links " << speed.connection_delay << " ms, disk x" << speed.disk_slowness
               << ": value of " << value << " bytes after " << value_after << " ms, map and copy after " << all_after
               << " ms, " << bytes << " bytes received by then, " << fleet.at(late).received << " after 5 s more; disk "
               << disk_before << " before, " << fleet.at(late).files->bytes() << " after, most "
@@ -181,7 +181,7 @@
     EXPECT_EQ(seen->old_slices, 0);
     EXPECT_EQ(seen->old_reads, 0);
     EXPECT_GE(fleet.state(fleet.master()).config_revision, fleet.state(late).config_revision);
-    EXPECT_NE(traffic_document_of(fleet.state(late)).find("\"revision\":21"), std::string::npos);
+    EXPECT_NE(routing_table_document_of(fleet.state(late)).find("\"revision\":21"), std::string::npos);
     if (HasFailure())
       return;
   }
@@ -226,7 +226,7 @@
             << fleet.at(slow).control->acceptor()->dropped() << " asks left unanswered\n";
   EXPECT_LE(most, 2u * 64);
   fleet.at(slow).disk_slowness = 1;
-  Integer newest = fleet.state(fleet.master()).version;
+  std::int64_t newest = fleet.state(fleet.master()).version;
   EXPECT_TRUE(fleet.run_until([&] { return fleet.at(slow).control->acceptor()->state().version >= newest; }, 60000))
       << fleet.story();
 }
--- a/packages/control-plane/tests/edit_batch_test.cpp
+++ b/packages/control-plane/tests/edit_batch_test.cpp
@@ -10,12 +10,12 @@
 
 namespace {
 
-EditAsk ask_of(const std::string& change, const std::string& act, const std::string& kind, const std::string& name,
-               Integer expected, const std::string& body) {
-  return EditAsk{1, change, act, kind, name, expected, body};
+EditRequest ask_of(const std::string& change, const std::string& act, const std::string& kind, const std::string& name,
+                   std::int64_t expected, const std::string& body) {
+  return EditRequest{1, change, act, kind, name, expected, body};
 }
 
-std::string table(Integer revision, int routes) {
+std::string table(std::int64_t revision, int routes) {
   std::string text = R"({"revision":)" + std::to_string(revision) + R"(,"routes":[)";
   for (int i = 0; i < routes; ++i)
     text += (i == 0 ? "" : ",") + std::string(R"({"name":"r)") + std::to_string(i) + R"(","host":"h)" +
@@ -23,10 +23,10 @@
   return text + R"(],"pools":[{"name":"m"}]})";
 }
 
-EditAsk random_ask(RandomGenerator& random, int number) {
+EditRequest random_request_id(RandomGenerator& random, int number) {
   std::string change = "change-" + std::to_string(random.chance(0.1) ? number - 1 : number);  // some come twice
   std::string name(1, static_cast<char>('a' + random.below(2)));
-  Integer expected = random.below(5) - 1;
+  std::int64_t expected = random.below(5) - 1;
   switch (random.below(5)) {
     case 0:
       return ask_of(change, "put", orders_kind, name, expected, R"({"state":"emptied"})");
@@ -37,7 +37,7 @@
     case 3:
       return ask_of(change, "put", orders_kind, name, expected, "not JSON");
     default:
-      return ask_of(change, "replace", traffic_kind, traffic_name, std::max<Integer>(0, expected),
+      return ask_of(change, "replace", routing_table_kind, routing_table_name, std::max<std::int64_t>(0, expected),
                     table(random.below(6), 1));
   }
 }
@@ -53,7 +53,7 @@
     FleetState one_by_one, at_once;
     std::vector<EditResult> verdicts;
     for (int i = 1; i <= 12; ++i) {
-      EditBatch alone{{{random_ask(random, i), {}}}};
+      EditBatch alone{{{random_request_id(random, i), {}}}};
       together.edits.push_back(alone.edits[0]);
       alone.work_out(one_by_one, true);
       verdicts.push_back(alone.edits[0].result);
@@ -81,7 +81,7 @@
 
 TEST(EditBatch, WhoLeadsNoMoreAppliesNothingAndTellsWhatWasDone) {
   FleetState state;
-  EditAsk done = ask_of("change-1", "put", orders_kind, "a", -1, R"({"state":"emptied"})");
+  EditRequest done = ask_of("change-1", "put", orders_kind, "a", -1, R"({"state":"emptied"})");
   EditBatch first{{{done, {}}}};
   EXPECT_TRUE(first.work_out(state, true));
   std::string before = encode_state(state);
@@ -95,9 +95,9 @@
 // Two operators build on one version of the table: one of them wins, and a third that sends the same is told so.
 TEST(EditBatch, OfTwoTablesOnOneBaseOneIsTaken) {
   FleetState state;
-  EditBatch batch{{{ask_of("change-1", "replace", traffic_kind, traffic_name, 0, table(7, 1)), {}},
-                   {ask_of("change-2", "replace", traffic_kind, traffic_name, 0, table(8, 2)), {}},
-                   {ask_of("change-3", "replace", traffic_kind, traffic_name, 0, table(7, 1)), {}}}};
+  EditBatch batch{{{ask_of("change-1", "replace", routing_table_kind, routing_table_name, 0, table(7, 1)), {}},
+                   {ask_of("change-2", "replace", routing_table_kind, routing_table_name, 0, table(8, 2)), {}},
+                   {ask_of("change-3", "replace", routing_table_kind, routing_table_name, 0, table(7, 1)), {}}}};
   EXPECT_TRUE(batch.work_out(state, true));
   EXPECT_EQ(batch.edits[0].result.code, 200);
   EXPECT_EQ(batch.edits[1].result.code, 412);
@@ -131,7 +131,7 @@
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     MachineFleet fleet(seed);
-    fleet.edit_times.asker_patience = fleet.edit_times.leader_wait = Span{800};
+    fleet.edit_times.requester_timeout = fleet.edit_times.leader_wait = Duration{800};
     auto names = bring_up(fleet, 3);
     fleet.delay = 28;
     fleet.sync_time = 150;
@@ -178,13 +178,13 @@
       for (std::uint64_t seed = 1; seed <= 5; ++seed) {
         SCOPED_TRACE("routes " + std::to_string(routes) + " seed " + std::to_string(seed));
         MachineFleet fleet(seed);
-        fleet.edit_times.asker_patience = fleet.edit_times.leader_wait = Span{800};
+        fleet.edit_times.requester_timeout = fleet.edit_times.leader_wait = Duration{800};
         auto names = bring_up(fleet, 3);
         fleet.delay = 28;
         fleet.sync_time = sync_time;
         fleet.run(2000);
-        auto taken =
-            fleet.request(fleet.master(), ask_of("", "replace", traffic_kind, traffic_name, 0, table(1, routes)));
+        auto taken = fleet.request(fleet.master(),
+                                   ask_of("", "replace", routing_table_kind, routing_table_name, 0, table(1, routes)));
         ASSERT_TRUE(fleet.run_until([&] { return taken->is_over; }, 8000)) << fleet.story();
         EXPECT_TRUE(taken->is_acknowledged());
         fleet.run(1000);
--- a/packages/control-plane/tests/edit_forwarder_test.cpp
+++ b/packages/control-plane/tests/edit_forwarder_test.cpp
@@ -10,46 +10,46 @@
 
 namespace {
 
-EditAsk ask_of(const std::string& kind, const std::string& name, const std::string& body) {
-  EditAsk ask;
-  ask.ask = 7;
-  ask.change = "change-7";
-  ask.act = "patch";
-  ask.kind = kind;
-  ask.name = name;
-  ask.body = body;
-  return ask;
+EditRequest ask_of(const std::string& kind, const std::string& name, const std::string& body) {
+  EditRequest request;
+  request.request_id = 7;
+  request.change_id = "change-7";
+  request.action = "patch";
+  request.kind = kind;
+  request.name = name;
+  request.body = body;
+  return request;
 }
 
 struct Bench {
   Bench() {
     forwarder.take(
-        ask_of(plans_kind, "p", "{}"), [this](const EditAnswer& answer) { told.push_back(answer.code); }, {},
-        Moment{0});
+        ask_of(plans_kind, "p", "{}"), [this](const EditResponse& response) { told.push_back(response.code); }, {},
+        TimePoint{0});
   }
-  void send(Integer term, std::int64_t at) { forwarder.send(Address{"m"}, term, Moment{at}); }
-  void answer(Integer code, Integer term, std::int64_t at = 3000) {
-    forwarder.on_answer(EditAnswer{7, code, 0, "", term}, Moment{at});
+  void send(std::int64_t term, std::int64_t at) { forwarder.send(Address{"m"}, term, TimePoint{at}); }
+  void answer(std::int64_t code, std::int64_t term, std::int64_t at = 3000) {
+    forwarder.on_response(EditResponse{7, code, 0, "", term}, TimePoint{at});
   }
   EditForwarder forwarder;
-  std::vector<Integer> told;
+  std::vector<std::int64_t> told;
 };
 
 }  // namespace
 
 TEST(EditForwarder, WithoutAMasterItWaitsAWhileAndIsThenRefused) {
   Bench bench;
-  bench.forwarder.on_timer(Moment{6000});
+  bench.forwarder.on_timer(TimePoint{6000});
   EXPECT_TRUE(bench.told.empty());
-  bench.forwarder.on_timer(Moment{7000});
-  EXPECT_EQ(bench.told, (std::vector<Integer>{503}));
+  bench.forwarder.on_timer(TimePoint{7000});
+  EXPECT_EQ(bench.told, (std::vector<std::int64_t>{503}));
 }
 
 TEST(EditForwarder, ACopyThatIsOutIsNeverCalledRefused) {
   Bench bench;
   bench.send(4, 0);
-  bench.forwarder.on_timer(Moment{60000});
-  EXPECT_EQ(bench.told, (std::vector<Integer>{504}));
+  bench.forwarder.on_timer(TimePoint{60000});
+  EXPECT_EQ(bench.told, (std::vector<std::int64_t>{504}));
 }
 
 TEST(EditForwarder, EachCopyMustBeDisownedBeforeItCountsAsNeverSent) {
@@ -57,15 +57,15 @@
   bench.send(4, 0);
   bench.send(4, 500);  // the same again: the first may have been lost
   bench.answer(0, 4);  // one of them came to a daemon that does not lead term 4
-  bench.forwarder.on_timer(Moment{60000});
-  EXPECT_EQ(bench.told, (std::vector<Integer>{504}));
+  bench.forwarder.on_timer(TimePoint{60000});
+  EXPECT_EQ(bench.told, (std::vector<std::int64_t>{504}));
   Bench other;
   other.send(4, 0);
   other.send(4, 500);
   other.answer(0, 4);
   other.answer(0, 4);
-  other.forwarder.on_timer(Moment{60000});
-  EXPECT_EQ(other.told, (std::vector<Integer>{503}));
+  other.forwarder.on_timer(TimePoint{60000});
+  EXPECT_EQ(other.told, (std::vector<std::int64_t>{503}));
 }
 
 TEST(EditForwarder, ARefusalIsToldOnceNoOtherCopyCanBeDone) {
@@ -75,37 +75,37 @@
   unread.answer(503, 5);
   EXPECT_TRUE(unread.told.empty());
   unread.answer(200, 4);
-  EXPECT_EQ(unread.told, (std::vector<Integer>{200}));
+  EXPECT_EQ(unread.told, (std::vector<std::int64_t>{200}));
   Bench read;  // worked out on the state: what the earlier one did would have been found
   read.send(4, 0);
   read.send(5, 500);
   read.answer(412, 5);
-  EXPECT_EQ(read.told, (std::vector<Integer>{412}));
+  EXPECT_EQ(read.told, (std::vector<std::int64_t>{412}));
   Bench late;  // an elder's refusal says nothing of the newer one's copy
   late.send(4, 0);
   late.send(5, 500);
   late.answer(412, 4);
   EXPECT_TRUE(late.told.empty());
   late.answer(200, 5);
-  EXPECT_EQ(late.told, (std::vector<Integer>{200}));
+  EXPECT_EQ(late.told, (std::vector<std::int64_t>{200}));
 }
 
-TEST(PassedHold, OnlyWhatTakesWorkAwayIsPassedOnAndOnlyWhileItWaits) {
-  EXPECT_FALSE(hold_of(ask_of(runners_kind, "m1", R"({"leaving":false})"), 1, Moment{0}).hold);
-  EXPECT_FALSE(hold_of(ask_of(orders_kind, "a", R"({"state":"serving"})"), 1, Moment{0}).hold);
-  EXPECT_FALSE(hold_of(ask_of(plans_kind, "leaving", R"({"leaving":true})"), 1, Moment{0}).hold);
-  EXPECT_FALSE(hold_of(ask_of(runners_kind, "m1", "not JSON"), 1, Moment{0}).hold);
-  PassedHold zone = hold_of(ask_of(orders_kind, "a", R"({"state":"emptied"})"), 1, Moment{0});
-  ASSERT_TRUE(zone.hold);
-  EXPECT_EQ(zone.hold->zone.text, "a");
-  EXPECT_FALSE(zone.is_due(1, Moment{100}));  // in the ordinary case the map is quicker
-  EXPECT_TRUE(zone.is_due(1, Moment{400}));
-  EXPECT_FALSE(zone.is_due(1, Moment{500}));
-  EXPECT_FALSE(zone.is_due(2, Moment{900}));  // done, or overtaken: the map alone speaks
-  EXPECT_FALSE(zone.is_due(1, Moment{1300}));
-  PassedHold runner = hold_of(ask_of(runners_kind, "m1", R"({"leaving":true})"), 1, Moment{0});
-  EXPECT_TRUE(runner.is_due(1, Moment{2900}));
-  EXPECT_FALSE(runner.is_due(1, Moment{3300}));  // its time is over
+TEST(ForwardedBlock, OnlyWhatTakesWorkAwayIsPassedOnAndOnlyWhileItWaits) {
+  EXPECT_FALSE(block_of(ask_of(runners_kind, "m1", R"({"leaving":false})"), 1, TimePoint{0}).block);
+  EXPECT_FALSE(block_of(ask_of(orders_kind, "a", R"({"state":"serving"})"), 1, TimePoint{0}).block);
+  EXPECT_FALSE(block_of(ask_of(plans_kind, "leaving", R"({"leaving":true})"), 1, TimePoint{0}).block);
+  EXPECT_FALSE(block_of(ask_of(runners_kind, "m1", "not JSON"), 1, TimePoint{0}).block);
+  ForwardedBlock zone = block_of(ask_of(orders_kind, "a", R"({"state":"emptied"})"), 1, TimePoint{0});
+  ASSERT_TRUE(zone.block);
+  EXPECT_EQ(zone.block->zone.text, "a");
+  EXPECT_FALSE(zone.is_due(1, TimePoint{100}));  // in the ordinary case the map is quicker
+  EXPECT_TRUE(zone.is_due(1, TimePoint{400}));
+  EXPECT_FALSE(zone.is_due(1, TimePoint{500}));
+  EXPECT_FALSE(zone.is_due(2, TimePoint{900}));  // done, or overtaken: the map alone speaks
+  EXPECT_FALSE(zone.is_due(1, TimePoint{1300}));
+  ForwardedBlock runner = block_of(ask_of(runners_kind, "m1", R"({"leaving":true})"), 1, TimePoint{0});
+  EXPECT_TRUE(runner.is_due(1, TimePoint{2900}));
+  EXPECT_FALSE(runner.is_due(1, TimePoint{3300}));  // its time is over
 }
 
 TEST(LeaderLease, AClaimWaitsShortlyOnlyWhereAMajorityOfTheLeaseRosterHasPromised) {
@@ -117,7 +117,7 @@
     state.lease_roster.push_back(Address{name});
   }
   auto wait = [&](const std::set<Address>& promised, const FleetState& before) {
-    return LeaderLease::claimed(before, TermClaim{4, promised, promised}, Address{"b"}, false).ack_wait;
+    return LeaderLease::claimed(before, TermClaim{4, promised, promised}, Address{"b"}, false).acknowledgement_wait_ms;
   };
   EXPECT_EQ(wait({Address{"b"}, Address{"c"}, Address{"d"}}, state), quick_ack_wait.value);
   EXPECT_EQ(wait({Address{"b"}, Address{"c"}}, state), late_ack_wait.value);
@@ -126,7 +126,7 @@
   laid_down.master = Address{};
   EXPECT_EQ(wait({Address{"b"}}, laid_down), 0);
   FleetState waiting = state;  // a long wait that is not over goes on into the next term
-  waiting.ack_wait = late_ack_wait.value;
+  waiting.acknowledgement_wait_ms = late_ack_wait.value;
   EXPECT_EQ(wait({Address{"b"}, Address{"c"}, Address{"d"}}, waiting), late_ack_wait.value);
   waiting.master = Address{};
   EXPECT_EQ(wait({Address{"b"}, Address{"c"}, Address{"d"}}, waiting), late_ack_wait.value);
@@ -137,27 +137,27 @@
 // An edit without a version, asked by one who leaves after a second.
 struct ImpatientBench {
   ImpatientBench() : forwarder(times()) {
-    EditAsk ask = ask_of(orders_kind, "a", R"({"state":"serving"})");
-    ask.expected = -1;
+    EditRequest request = ask_of(orders_kind, "a", R"({"state":"serving"})");
+    request.expected_version = -1;
     forwarder.take(
-        ask, [this](const EditAnswer& answer) { told.push_back(answer.code); }, {}, Moment{0});
+        request, [this](const EditResponse& response) { told.push_back(response.code); }, {}, TimePoint{0});
   }
   static EditTimes times() {
     EditTimes times;
-    times.asker_patience = Span{800};
-    times.leader_wait = Span{700};
-    times.answer_wait = Span{5000};
+    times.requester_timeout = Duration{800};
+    times.leader_wait = Duration{700};
+    times.response_timeout = Duration{5000};
     return times;
   }
   // What is sent to the leader of that term. Example: sent(4, 0, 2000).at(0).stamp == 2000
-  std::vector<EditAsk> sent(Integer term, std::int64_t at, Integer stamp = 0) {
-    std::vector<EditAsk> asks;
-    for (const auto& sending : forwarder.send(Address{"m"}, term, Moment{at}, stamp))
-      asks.push_back(std::get<EditAsk>(sending.message));
-    return asks;
+  std::vector<EditRequest> sent(std::int64_t term, std::int64_t at, std::int64_t stamp = 0) {
+    std::vector<EditRequest> edit_requests;
+    for (const auto& message : forwarder.send(Address{"m"}, term, TimePoint{at}, stamp))
+      edit_requests.push_back(std::get<EditRequest>(message.message));
+    return edit_requests;
   }
   EditForwarder forwarder;
-  std::vector<Integer> told;
+  std::vector<std::int64_t> told;
 };
 
 }  // namespace
@@ -166,19 +166,19 @@
   ImpatientBench bench;
   auto first = bench.sent(4, 100);
   ASSERT_EQ(first.size(), 1u);
-  EXPECT_EQ(first[0].age, 100);
-  EXPECT_EQ(first[0].stamp, 0);
+  EXPECT_EQ(first[0].age_ms, 100);
+  EXPECT_EQ(first[0].master_timestamp, 0);
   EXPECT_TRUE(bench.sent(4, 200).empty());
   // The leader could not tell how old it was: it is sent again at once, with the stamp that came.
-  bench.forwarder.on_answer(EditAnswer{7, 0, 0, "", 4, 9000}, Moment{220});
+  bench.forwarder.on_response(EditResponse{7, 0, 0, "", 4, 9000}, TimePoint{220});
   auto second = bench.sent(4, 220, 8000);
   ASSERT_EQ(second.size(), 1u);
-  EXPECT_EQ(second[0].age, 220);
-  EXPECT_EQ(second[0].stamp, 9000);
+  EXPECT_EQ(second[0].age_ms, 220);
+  EXPECT_EQ(second[0].master_timestamp, 9000);
   // Another leader's clock is another.
   auto third = bench.sent(5, 730, 17);
   ASSERT_EQ(third.size(), 1u);
-  EXPECT_EQ(third[0].stamp, 17);
+  EXPECT_EQ(third[0].master_timestamp, 17);
 }
 
 TEST(EditForwarder, WhatIsTooOldIsSentNoMoreAndIsNotDoneByItselfEither) {
@@ -186,53 +186,53 @@
   EXPECT_EQ(bench.sent(4, 100).size(), 1u);
   EXPECT_TRUE(bench.sent(4, 800).empty());
   EXPECT_TRUE(bench.sent(5, 900).empty());
-  EXPECT_TRUE(bench.forwarder.take_back(Moment{900}).empty());
-  bench.forwarder.on_timer(Moment{900});
+  EXPECT_TRUE(bench.forwarder.take_back(TimePoint{900}).empty());
+  bench.forwarder.on_timer(TimePoint{900});
   EXPECT_TRUE(bench.told.empty());  // the copy that is out may be done
-  bench.forwarder.on_answer(EditAnswer{7, 0, 0, "", 4, 9000}, Moment{1000});
-  bench.forwarder.on_timer(Moment{1000});
-  EXPECT_EQ(bench.told, (std::vector<Integer>{503}));
+  bench.forwarder.on_response(EditResponse{7, 0, 0, "", 4, 9000}, TimePoint{1000});
+  bench.forwarder.on_timer(TimePoint{1000});
+  EXPECT_EQ(bench.told, (std::vector<std::int64_t>{503}));
   ImpatientBench young;
-  EXPECT_EQ(young.forwarder.take_back(Moment{799}).size(), 1u);
+  EXPECT_EQ(young.forwarder.take_back(TimePoint{799}).size(), 1u);
   ImpatientBench unanswered;
   EXPECT_EQ(unanswered.sent(4, 100).size(), 1u);
-  unanswered.forwarder.on_timer(Moment{5099});
+  unanswered.forwarder.on_timer(TimePoint{5099});
   EXPECT_TRUE(unanswered.told.empty());
-  unanswered.forwarder.on_timer(Moment{5100});
-  EXPECT_EQ(unanswered.told, (std::vector<Integer>{504}));
+  unanswered.forwarder.on_timer(TimePoint{5100});
+  EXPECT_EQ(unanswered.told, (std::vector<std::int64_t>{504}));
 }
 
 TEST(EditForwarder, WithoutALeaderItIsRefusedBeforeItsAskerLeaves) {
   ImpatientBench bench;
-  bench.forwarder.on_timer(Moment{699});
+  bench.forwarder.on_timer(TimePoint{699});
   EXPECT_TRUE(bench.told.empty());
-  bench.forwarder.on_timer(Moment{700});
-  EXPECT_EQ(bench.told, (std::vector<Integer>{503}));
+  bench.forwarder.on_timer(TimePoint{700});
+  EXPECT_EQ(bench.told, (std::vector<std::int64_t>{503}));
 }
 
 TEST(EditForwarder, WhatWaitsWhenTheDaemonEndsIsRefusedOrUnknown) {
   ImpatientBench unsent, sent;
   EXPECT_EQ(unsent.forwarder.end_all().size(), 1u);
-  EXPECT_EQ(unsent.told, (std::vector<Integer>{503}));
+  EXPECT_EQ(unsent.told, (std::vector<std::int64_t>{503}));
   EXPECT_EQ(sent.sent(4, 100).size(), 1u);
   EXPECT_EQ(sent.forwarder.end_all().size(), 1u);
-  EXPECT_EQ(sent.told, (std::vector<Integer>{504}));
+  EXPECT_EQ(sent.told, (std::vector<std::int64_t>{504}));
   EXPECT_TRUE(sent.forwarder.waiting().empty());
 }
 
 // Timers of 25 ms.
 TEST(PauseDetector, WhatIsReadSoonAfterAPauseMayBeOld) {
   PauseDetector pauses;
-  pauses.start(Moment{0});
-  pauses.on_timer(Moment{25});
-  EXPECT_FALSE(pauses.may_read_old_requests(Moment{30}, Moment{-1}));
-  EXPECT_TRUE(pauses.may_read_old_requests(Moment{1000}, Moment{10}));  // a request comes before the late timer
-  pauses.on_timer(Moment{1001});
-  pauses.on_timer(Moment{1026});
-  EXPECT_TRUE(pauses.may_read_old_requests(Moment{1027}, Moment{1002}));
-  EXPECT_TRUE(pauses.may_read_old_requests(Moment{1050}, Moment{10}));
+  pauses.start(TimePoint{0});
+  pauses.on_timer(TimePoint{25});
+  EXPECT_FALSE(pauses.may_read_old_requests(TimePoint{30}, TimePoint{-1}));
+  EXPECT_TRUE(pauses.may_read_old_requests(TimePoint{1000}, TimePoint{10}));  // a request comes before the late timer
+  pauses.on_timer(TimePoint{1001});
+  pauses.on_timer(TimePoint{1026});
+  EXPECT_TRUE(pauses.may_read_old_requests(TimePoint{1027}, TimePoint{1002}));
+  EXPECT_TRUE(pauses.may_read_old_requests(TimePoint{1050}, TimePoint{10}));
   for (std::int64_t ms = 1051; ms <= 1301; ms += 25)
-    pauses.on_timer(Moment{ms});
-  EXPECT_TRUE(pauses.may_read_old_requests(Moment{1310}, Moment{10}));  // no majority has answered since
-  EXPECT_FALSE(pauses.may_read_old_requests(Moment{1310}, Moment{1002}));
+    pauses.on_timer(TimePoint{ms});
+  EXPECT_TRUE(pauses.may_read_old_requests(TimePoint{1310}, TimePoint{10}));  // no majority has answered since
+  EXPECT_FALSE(pauses.may_read_old_requests(TimePoint{1310}, TimePoint{1002}));
 }
--- a/packages/control-plane/tests/membership_test.cpp
+++ b/packages/control-plane/tests/membership_test.cpp
@@ -269,8 +269,9 @@
 
 // Members that see each other silent, though others hear both, are not swapped back and forth.
 TEST(Membership, DisturbedMembersAreNotSwappedBackAndForth) {
-  enum class Kind { one_way_cuts, cut_links, slow_disk, short_pauses, long_pauses };
-  for (Kind kind : {Kind::one_way_cuts, Kind::cut_links, Kind::slow_disk, Kind::short_pauses, Kind::long_pauses}) {
+  enum class Kind { one_way_cuts, cut_connections, slow_disk, short_pauses, long_pauses };
+  for (Kind kind :
+       {Kind::one_way_cuts, Kind::cut_connections, Kind::slow_disk, Kind::short_pauses, Kind::long_pauses}) {
     int most = 0;
     std::int64_t without_majority = 0;
     for (std::uint64_t seed = 1; seed <= seeds / 8; ++seed) {
@@ -288,8 +289,8 @@
         fleet.cut_one_way(one, other);
         fleet.cut_one_way(other, names[(seed + 2) % 3]);
       }
-      if (kind == Kind::cut_links)
-        fleet.cut_link(one, other);
+      if (kind == Kind::cut_connections)
+        fleet.cut_connection(one, other);
       if (kind == Kind::slow_disk)
         fleet.at(one).disk_delay = 3000;
       std::int64_t next_pause = fleet.now();
@@ -391,7 +392,7 @@
         return !fleet.master().empty() && fleet.has_wanted_set(names[diskless], stores);
       };
       EXPECT_TRUE(fleet.run_until(is_whole, 12000)) << fleet.story();
-      EXPECT_EQ(fleet.foundings(), 1) << fleet.story();
+      EXPECT_EQ(fleet.bootstraps(), 1) << fleet.story();
       fleet.run(2000);
       // The loss of a replica is mended, whoever leads; the loss of one more takes no majority away.
       std::string lost = fleet.is_member(stores[0], names[diskless]) ? stores[0] : stores[1];
--- a/packages/control-plane/tests/one_process_test.cpp
+++ b/packages/control-plane/tests/one_process_test.cpp
@@ -12,7 +12,7 @@
       auto names = bring_up(fleet, count);
       fleet.run(10000);
       EXPECT_TRUE(fleet.is_settled(names)) << fleet.story();
-      EXPECT_EQ(fleet.foundings(), 1) << fleet.story();
+      EXPECT_EQ(fleet.bootstraps(), 1) << fleet.story();
       fleet.expect_nothing_lost(names.back());
       if (HasFailure())
         return;
@@ -29,11 +29,11 @@
         if (name != names[late])
           fleet.start(name, true);
       fleet.run(2000);
-      EXPECT_EQ(fleet.foundings(), late < 3 ? 0 : 1);
+      EXPECT_EQ(fleet.bootstraps(), late < 3 ? 0 : 1);
       fleet.start(names[late], true);
       // One that is no seed comes as a newcomer, and is added once it has been there for a while.
       EXPECT_TRUE(fleet.run_until([&] { return fleet.is_settled(names); }, late < 3 ? 4000 : 8000)) << fleet.story();
-      EXPECT_EQ(fleet.foundings(), 1);
+      EXPECT_EQ(fleet.bootstraps(), 1);
       EXPECT_TRUE(fleet.edit_until_done(4000)) << fleet.story();
       fleet.expect_nothing_lost(names[0]);
       if (HasFailure())
@@ -55,7 +55,7 @@
       fleet.run(1500);
       fleet.start(names[lost], true);
       EXPECT_TRUE(fleet.run_until([&] { return fleet.is_settled(names); }, 12000)) << fleet.story();
-      EXPECT_LE(fleet.foundings(), 1) << fleet.story();
+      EXPECT_LE(fleet.bootstraps(), 1) << fleet.story();
       EXPECT_TRUE(fleet.edit_until_done(4000)) << fleet.story();
       fleet.expect_nothing_lost(names[2]);
       if (HasFailure())
@@ -76,7 +76,7 @@
       fleet.run(5000);
       fleet.loss = 0;
       EXPECT_TRUE(fleet.run_until([&] { return fleet.is_settled(names); }, 15000)) << fleet.story();
-      EXPECT_LE(fleet.foundings(), 1) << fleet.story();
+      EXPECT_LE(fleet.bootstraps(), 1) << fleet.story();
       EXPECT_TRUE(fleet.edit_until_done(4000)) << fleet.story();
       fleet.expect_nothing_lost(names[0]);
       if (HasFailure())
@@ -87,14 +87,14 @@
 TEST(OneProcess, OnlyASeedFounds) {
   RegisterProposer proposer(Address{"a"}, RandomGenerator(1));
   EventJournal journal{8};
-  CoreFounder outsider(proposer, journal, Address{"a"}, {Address{"b"}, Address{"c"}}, RandomGenerator(1));
-  outsider.start(Moment{0});
-  outsider.on_timer(Moment{1000});
-  EXPECT_TRUE(outsider.take_out().empty());
-  CoreFounder larger(proposer, journal, Address{"c"}, {Address{"b"}, Address{"c"}}, RandomGenerator(1));
-  larger.start(Moment{0});
-  larger.on_timer(Moment{1000});
-  EXPECT_TRUE(larger.take_out().empty());
+  ClusterBootstrapper outsider(proposer, journal, Address{"a"}, {Address{"b"}, Address{"c"}}, RandomGenerator(1));
+  outsider.start(TimePoint{0});
+  outsider.on_timer(TimePoint{1000});
+  EXPECT_TRUE(outsider.drain_outbound().empty());
+  ClusterBootstrapper larger(proposer, journal, Address{"c"}, {Address{"b"}, Address{"c"}}, RandomGenerator(1));
+  larger.start(TimePoint{0});
+  larger.on_timer(TimePoint{1000});
+  EXPECT_TRUE(larger.drain_outbound().empty());
 }
 
 TEST(OneProcess, AFleetIsNeverFoundedOverAnother) {
@@ -108,7 +108,7 @@
     fleet.run(fleet.random().below(4000));
     fleet.start(names[0], true);
     EXPECT_TRUE(fleet.run_until([&] { return fleet.is_settled(names); }, 8000)) << fleet.story();
-    EXPECT_EQ(fleet.foundings(), 1) << fleet.story();
+    EXPECT_EQ(fleet.bootstraps(), 1) << fleet.story();
     fleet.expect_nothing_lost(names[0]);
     if (HasFailure())
       return;
@@ -217,48 +217,48 @@
 // Data above what is chosen here is of another register: it would win, so it is kept out.
 TEST(OneProcess, AStoreOfAnotherRegisterIsKeptOut) {
   FleetState state;
-  state.fleet = "emberdale";
+  state.fleet_name = "emberdale";
   for (const char* name : {"a", "b", "c"})
     state.acceptors.push_back({StoreId{name}, Address{name}});
   RegisterProposer proposer(Address{"a"}, RandomGenerator(1));
   proposer.learn_acceptors(state.acceptors);
-  auto hear_set = [&](MembershipReconciler& reconciler, const std::set<std::string>& living, Moment now) {
+  auto hear_set = [&](MembershipReconciler& reconciler, const std::set<std::string>& living, TimePoint now) {
     proposer.poll(now, "edge", true);
-    Integer ask = std::get<ReadAsk>(proposer.take_out().front().message).ask;
+    std::int64_t ask = std::get<ReadRequest>(proposer.drain_outbound().front().message).request_id;
     for (const auto& name : living) {
-      ReadAnswer answer;
-      answer.ask = ask;
-      answer.store.text = name;
-      answer.accepted = Ballot{20, Address{"a"}};
-      answer.value.data = encode_state(state);
-      answer.acceptors = state.acceptors;
-      answer.awake = now.value;
+      ReadResponse response;
+      response.request_id = ask;
+      response.store.text = name;
+      response.accepted = Ballot{20, Address{"a"}};
+      response.value.data = encode_state(state);
+      response.acceptors = state.acceptors;
+      response.uptime_ms = now.value;
       for (const auto& heard : living)
-        answer.heard.push_back({Address{heard}, 0});
-      proposer.on_message(Address{name}, answer, now);
-      reconciler.on_message(Address{name}, answer, now);
+        response.contacts.push_back({Address{heard}, 0});
+      proposer.on_message(Address{name}, response, now);
+      reconciler.on_message(Address{name}, response, now);
     }
   };
-  auto due_with = [&](Integer ballot, bool is_blank, std::int64_t length) -> std::string {
+  auto due_with = [&](std::int64_t ballot, bool is_blank, std::int64_t length) -> std::string {
     MembershipReconciler reconciler(proposer, DaemonEntry{Address{"a"}, "", "edge", ZoneName{"z"}, RegionName{"r"}, 1},
                                     MembershipPolicy{}, RandomGenerator(1));
-    reconciler.start(Moment{0});
+    reconciler.start(TimePoint{0});
     reconciler.set_right({DecisionRight::Kind::leaderless, state.term});
     for (std::int64_t ms = 0; ms <= length; ms += 100) {
-      Moment now{ms};
+      TimePoint now{ms};
       reconciler.on_timer(now);
       hear_set(reconciler, {"a", "b"}, now);
-      reconciler.see_daemons({DaemonEntry{Address{"d"}, "", "edge", ZoneName{"z"}, RegionName{"r"}, 1}}, now);
-      for (const auto& sending : reconciler.take_out()) {
-        ReadAnswer answer;
-        answer.ask = std::get<ReadAsk>(sending.message).ask;
-        answer.store.text = "d";
-        answer.blank = is_blank;
-        answer.accepted = Ballot{ballot, Address{"a"}};
-        reconciler.on_message(sending.to, answer, now);
+      reconciler.observe_daemons({DaemonEntry{Address{"d"}, "", "edge", ZoneName{"z"}, RegionName{"r"}, 1}}, now);
+      for (const auto& message : reconciler.drain_outbound()) {
+        ReadResponse response;
+        response.request_id = std::get<ReadRequest>(message.message).request_id;
+        response.store.text = "d";
+        response.blank = is_blank;
+        response.accepted = Ballot{ballot, Address{"a"}};
+        reconciler.on_message(message.to, response, now);
       }
     }
-    auto due = reconciler.due_change(Moment{length});
+    auto due = reconciler.due_change(TimePoint{length});
     return due ? due->kind : "nothing";
   };
   EXPECT_EQ(due_with(0, true, 4000), "replacing");
@@ -279,7 +279,7 @@
       EXPECT_TRUE(fleet.run_until([&] { return !fleet.master().empty(); }, 6000)) << fleet.story();
       auto outcome = fleet.edit(fleet.master());
       EXPECT_TRUE(fleet.run_until([&] { return outcome->is_acknowledged(); }, 300)) << outcome->code << fleet.story();
-      EXPECT_EQ(fleet.state(fleet.master()).ack_wait, 0);
+      EXPECT_EQ(fleet.state(fleet.master()).acknowledgement_wait_ms, 0);
       fleet.start(lost, false);
       EXPECT_TRUE(fleet.run_until([&] { return fleet.is_settled(names); }, 8000)) << fleet.story();
     }
@@ -462,7 +462,7 @@
     fleet.add("spare", "b", false);
     fleet.start("spare", false);
     fleet.run(1000);
-    fleet.cut_link(names[0], names[1]);
+    fleet.cut_connection(names[0], names[1]);
     for (int i = 0; i < 10; ++i) {
       // Who can't reach the master hands nothing on; every other daemon does.
       EXPECT_TRUE(fleet.edit_until_done(15000, names[2])) << fleet.story();
--- a/packages/control-plane/tests/operator_wait_test.cpp
+++ b/packages/control-plane/tests/operator_wait_test.cpp
@@ -9,25 +9,25 @@
 namespace {
 
 // As the platform sets them for operators that go to another daemon after a second of silence.
-EditTimes told_early() {
+EditTimes notified_early() {
   EditTimes times;
-  times.asker_patience = Span{800};
-  times.leader_wait = Span{700};
-  times.answer_wait = Span{5000};
-  times.contact_limit = Span{1000};
+  times.requester_timeout = Duration{800};
+  times.leader_wait = Duration{700};
+  times.response_timeout = Duration{5000};
+  times.contact_limit = Duration{1000};
   return times;
 }
 
 // Regions that are 55 ms apart.
 ElectionTimes near_regions() {
   ElectionTimes times;
-  times.ping_round = Span{1000};
-  times.ping_again = Span{350};
-  times.join = Span{800};
-  times.follow = Span{300};
-  times.master_silence = Span{1300};
-  times.lonely_master = Span{2000};
-  times.pause = Span{150};
+  times.ping_round = Duration{1000};
+  times.ping_again = Duration{350};
+  times.join = Duration{800};
+  times.follow = Duration{300};
+  times.master_silence = Duration{1300};
+  times.lonely_master = Duration{2000};
+  times.pause = Duration{150};
   return times;
 }
 
@@ -111,7 +111,7 @@
                             Trouble::follower_stops}) {
       SCOPED_TRACE(name_of(trouble) + " delay " + std::to_string(delay));
       Times before = times_of(trouble, kept_long(), delay);
-      Times after = times_of(trouble, told_early(), delay);
+      Times after = times_of(trouble, notified_early(), delay);
       std::cout << name_of(trouble) << ", links of " << delay << " to " << 2 * delay << " ms: median "
                 << before.median() << " -> " << after.median() << ", worst " << before.worst() << " -> "
                 << after.worst() << " ms\n";
@@ -124,7 +124,7 @@
   for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     MachineFleet fleet(seed);
-    fleet.edit_times = told_early();
+    fleet.edit_times = notified_early();
     auto names = bring_up(fleet, 3);
     std::string follower = follower_of(fleet, names);
     fleet.cut_zone(fleet.at(follower).zone.text);
@@ -153,7 +153,7 @@
   for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     MachineFleet fleet(seed);
-    fleet.edit_times = told_early();
+    fleet.edit_times = notified_early();
     auto names = bring_up(fleet, 3);
     std::string follower = follower_of(fleet, names);
     auto out = fleet.edit(follower);
@@ -171,7 +171,7 @@
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
       SCOPED_TRACE(std::string(is_leader ? "leader" : "follower") + " seed " + std::to_string(seed));
       MachineFleet fleet(seed);
-      fleet.edit_times = told_early();
+      fleet.edit_times = notified_early();
       auto names = bring_up(fleet, 3);
       std::string stopping = is_leader ? fleet.master() : follower_of(fleet, names);
       std::vector<std::shared_ptr<EditOutcome>> held;
--- a/packages/control-plane/tests/order_age_test.cpp
+++ b/packages/control-plane/tests/order_age_test.cpp
@@ -12,11 +12,11 @@
 // is the age alone that must keep an old order out.
 EditTimes impatient_operators() {
   EditTimes times;
-  times.asker_patience = times.leader_wait = Span{800};
+  times.requester_timeout = times.leader_wait = Duration{800};
   return times;
 }
 
-std::string body_of_order(bool is_emptied) { return is_emptied ? "emptied" : "serving"; }
+std::string body_of_order(bool is_evacuated) { return is_evacuated ? "emptied" : "serving"; }
 
 struct Three {
   explicit Three(std::uint64_t seed) : fleet(seed) {
@@ -29,10 +29,10 @@
   }
 
   // Asked of the running daemons in turn until it is acknowledged, as operators do.
-  bool order_until_done(const std::vector<std::string>& where, bool is_emptied, std::int64_t ms = 20000) {
+  bool order_until_done(const std::vector<std::string>& where, bool is_evacuated, std::int64_t ms = 20000) {
     std::int64_t end = fleet.now() + ms;
     for (std::size_t turn = 0; fleet.now() < end; ++turn) {
-      auto outcome = fleet.order(where[turn % where.size()], "z", is_emptied);
+      auto outcome = fleet.order(where[turn % where.size()], "z", is_evacuated);
       fleet.run_until([&] { return outcome->is_over; }, 1000);
       if (outcome->is_acknowledged())
         return true;
@@ -41,10 +41,10 @@
     return false;
   }
 
-  void expect_order(bool is_emptied) {
+  void expect_order(bool is_evacuated) {
     fleet.run(9000);
     std::string body = fleet.body_of(fleet.master(), "zone-orders", "z");
-    EXPECT_NE(body.find(body_of_order(is_emptied)), std::string::npos) << body << "\n" << fleet.story();
+    EXPECT_NE(body.find(body_of_order(is_evacuated)), std::string::npos) << body << "\n" << fleet.story();
   }
 
   MachineFleet fleet;
@@ -57,23 +57,23 @@
 // The daemon that takes the order in is cut off from the others; the order goes on when the cut heals.
 TEST(OrderAge, AnOrderOfADaemonThatWasCutOffOverridesNoLaterOne) {
   for (bool holds_frames : {false, true})
-    for (bool is_emptied : {true, false})
+    for (bool is_evacuated : {true, false})
       for (std::int64_t later : {500, 2000, 4000})
         for (std::uint64_t seed = 1; seed <= order_seeds; ++seed) {
-          SCOPED_TRACE((holds_frames ? "held frames, " : "lost frames, ") + body_of_order(is_emptied) + " at " +
+          SCOPED_TRACE((holds_frames ? "held frames, " : "lost frames, ") + body_of_order(is_evacuated) + " at " +
                        std::to_string(later) + " seed " + std::to_string(seed));
           Three three(seed);
           MachineFleet& fleet = three.fleet;
           fleet.holds_frames = holds_frames;
           fleet.cut_zone(fleet.at(three.first).zone.text);
           fleet.run(3000);
-          auto old = fleet.order(three.first, "z", is_emptied);
+          auto old = fleet.order(three.first, "z", is_evacuated);
           fleet.run(700);
-          ASSERT_TRUE(three.order_until_done({three.second, three.leader}, is_emptied)) << fleet.story();
+          ASSERT_TRUE(three.order_until_done({three.second, three.leader}, is_evacuated)) << fleet.story();
           fleet.run(later);
-          ASSERT_TRUE(three.order_until_done({three.second, three.leader}, !is_emptied)) << fleet.story();
+          ASSERT_TRUE(three.order_until_done({three.second, three.leader}, !is_evacuated)) << fleet.story();
           fleet.heal();
-          three.expect_order(!is_emptied);
+          three.expect_order(!is_evacuated);
           EXPECT_FALSE(old->is_acknowledged());
           if (HasFailure())
             return;
@@ -82,21 +82,21 @@
 
 // The copy is on its way to the leader when a cut comes, and a connection holds it until the cut heals.
 TEST(OrderAge, AFrameThatACutHeldOverridesNoLaterOrder) {
-  for (bool is_emptied : {true, false})
+  for (bool is_evacuated : {true, false})
     for (std::int64_t later : {500, 2000, 4000})
       for (std::uint64_t seed = 1; seed <= order_seeds; ++seed) {
-        SCOPED_TRACE(body_of_order(is_emptied) + " at " + std::to_string(later) + " seed " + std::to_string(seed));
+        SCOPED_TRACE(body_of_order(is_evacuated) + " at " + std::to_string(later) + " seed " + std::to_string(seed));
         Three three(seed);
         MachineFleet& fleet = three.fleet;
         fleet.holds_frames = true;
         fleet.cut_zone(fleet.at(three.first).zone.text);
-        auto old = fleet.order(three.first, "z", is_emptied);
+        auto old = fleet.order(three.first, "z", is_evacuated);
         fleet.run(1000);
-        ASSERT_TRUE(three.order_until_done({three.second, three.leader}, is_emptied)) << fleet.story();
+        ASSERT_TRUE(three.order_until_done({three.second, three.leader}, is_evacuated)) << fleet.story();
         fleet.run(later);
-        ASSERT_TRUE(three.order_until_done({three.second, three.leader}, !is_emptied)) << fleet.story();
+        ASSERT_TRUE(three.order_until_done({three.second, three.leader}, !is_evacuated)) << fleet.story();
         fleet.heal();
-        three.expect_order(!is_emptied);
+        three.expect_order(!is_evacuated);
         EXPECT_FALSE(old->is_acknowledged());
         if (HasFailure())
           return;
@@ -106,10 +106,10 @@
 // The leader sleeps, with orders in its queue, in its connections and in its operators' sockets; the others elect
 // another, or it wakes before they do.
 TEST(OrderAge, OrdersThatAFrozenLeaderHoldsOverrideNoLaterOne) {
-  for (bool is_emptied : {true, false})
+  for (bool is_evacuated : {true, false})
     for (std::int64_t frozen : {1300, 4000, 9000})
       for (std::uint64_t seed = 1; seed <= order_seeds; ++seed) {
-        SCOPED_TRACE(body_of_order(is_emptied) + " frozen for " + std::to_string(frozen) + " seed " +
+        SCOPED_TRACE(body_of_order(is_evacuated) + " frozen for " + std::to_string(frozen) + " seed " +
                      std::to_string(seed));
         Three three(seed);
         MachineFleet& fleet = three.fleet;
@@ -117,18 +117,18 @@
         std::vector<std::shared_ptr<EditOutcome>> in_hand;
         for (int i = 0; i < 4; ++i)  // the first are being worked out, the others wait in its queue
           in_hand.push_back(fleet.edit(three.leader));
-        auto queued = fleet.order(three.leader, "z", is_emptied);
+        auto queued = fleet.order(three.leader, "z", is_evacuated);
         fleet.run(fleet.random().below(6));
         fleet.freeze(three.leader, true);
-        auto at_its_socket = fleet.order(three.leader, "z", is_emptied);
-        auto on_its_way = fleet.order(three.first, "z", is_emptied);
+        auto at_its_socket = fleet.order(three.leader, "z", is_evacuated);
+        auto on_its_way = fleet.order(three.first, "z", is_evacuated);
         fleet.later(frozen, [&] { fleet.freeze(three.leader, false); });
         fleet.run(1000);
-        bool is_done = three.order_until_done({three.second, three.first}, is_emptied) &&
-                       three.order_until_done({three.second, three.first}, !is_emptied);
+        bool is_done = three.order_until_done({three.second, three.first}, is_evacuated) &&
+                       three.order_until_done({three.second, three.first}, !is_evacuated);
         EXPECT_TRUE(is_done) << fleet.story();
         fleet.run(std::max<std::int64_t>(0, frozen - 4000));
-        three.expect_order(!is_emptied);
+        three.expect_order(!is_evacuated);
         if (HasFailure())
           return;
       }
@@ -136,23 +136,23 @@
 
 // A daemon sleeps with an operator's request in its socket; the operator has long gone elsewhere when it wakes.
 TEST(OrderAge, ARequestThatWaitedAtAFrozenDaemonOverridesNoLaterOrder) {
-  for (bool is_emptied : {true, false})
+  for (bool is_evacuated : {true, false})
     for (std::uint64_t seed = 1; seed <= order_seeds; ++seed) {
-      SCOPED_TRACE(body_of_order(is_emptied) + " seed " + std::to_string(seed));
+      SCOPED_TRACE(body_of_order(is_evacuated) + " seed " + std::to_string(seed));
       Three three(seed);
       MachineFleet& fleet = three.fleet;
       fleet.freeze(three.first, true);
-      auto old = fleet.order(three.first, "z", is_emptied);
+      auto old = fleet.order(three.first, "z", is_evacuated);
       fleet.run(1000);
-      ASSERT_TRUE(three.order_until_done({three.second, three.leader}, is_emptied)) << fleet.story();
-      ASSERT_TRUE(three.order_until_done({three.second, three.leader}, !is_emptied)) << fleet.story();
+      ASSERT_TRUE(three.order_until_done({three.second, three.leader}, is_evacuated)) << fleet.story();
+      ASSERT_TRUE(three.order_until_done({three.second, three.leader}, !is_evacuated)) << fleet.story();
       fleet.run(fleet.random().below(4000));
       fleet.freeze(three.first, false);
       fleet.run(100);
       EXPECT_EQ(old->code, 503);
       // It serves again soon after.
       EXPECT_TRUE(fleet.edit_until_done(4000, three.first)) << fleet.story();
-      three.expect_order(!is_emptied);
+      three.expect_order(!is_evacuated);
       if (HasFailure())
         return;
     }
@@ -196,27 +196,27 @@
 }
 
 TEST(OrderAge, TheLeaderBoundsTheAgeByItsOwnClock) {
-  EditAsk ask;
-  ask.expected = -1;
-  ask.age = 150;
-  EXPECT_FALSE(age_bound(ask, Moment{5000}));  // without a stamp nothing is known
-  ask.stamp = 4700;
-  EXPECT_EQ(age_bound(ask, Moment{5000}), Span{450});
-  EXPECT_FALSE(age_bound(ask, Moment{4600}));  // a stamp that this clock has not reached is no stamp of it
+  EditRequest request;
+  request.expected_version = -1;
+  request.age_ms = 150;
+  EXPECT_FALSE(age_bound(request, TimePoint{5000}));  // without a stamp nothing is known
+  request.master_timestamp = 4700;
+  EXPECT_EQ(age_bound(request, TimePoint{5000}), Duration{450});
+  EXPECT_FALSE(age_bound(request, TimePoint{4600}));  // a stamp that this clock has not reached is no stamp of it
 }
 
 TEST(OrderAge, OnlyAVersionThatIsCurrentButOnceStandsInForTheAge) {
-  EditAsk ask;
-  ask.kind = "zone-orders";
-  ask.expected = -1;
-  EXPECT_TRUE(is_bound_by_age(ask));
-  ask.expected = 0;  // "must not exist" is true again after a deletion
-  EXPECT_TRUE(is_bound_by_age(ask));
-  ask.expected = 3;
-  EXPECT_FALSE(is_bound_by_age(ask));
-  ask.kind = traffic_kind;  // a table's revision only rises, and it is never deleted
-  ask.expected = 0;
-  EXPECT_FALSE(is_bound_by_age(ask));
+  EditRequest request;
+  request.kind = "zone-orders";
+  request.expected_version = -1;
+  EXPECT_TRUE(is_bound_by_age(request));
+  request.expected_version = 0;  // "must not exist" is true again after a deletion
+  EXPECT_TRUE(is_bound_by_age(request));
+  request.expected_version = 3;
+  EXPECT_FALSE(is_bound_by_age(request));
+  request.kind = routing_table_kind;  // a table's revision only rises, and it is never deleted
+  request.expected_version = 0;
+  EXPECT_FALSE(is_bound_by_age(request));
 }
 
 // A daemon that leads again after another did works out nothing that it took in before.
@@ -227,22 +227,22 @@
   EventJournal journal(8);
   LeaderLease lease(proposer, election, self.address);
   MasterEdits edits(proposer, election, lease, journal, self.address);
-  Moment now{1000};
-  auto lead = [&](Integer term) {
+  TimePoint now{1000};
+  auto lead = [&](std::int64_t term) {
     while (!election.is_master()) {
-      now = now + Span{100};
+      now = now + Duration{100};
       election.on_timer(now);
-      if (election.take_claim())
+      if (election.drain_claim())
         election.claim_ended(true, term, now);
     }
     edits.begin();
   };
   auto take = [&](const std::string& change) {
     MasterEdits::Edit edit;
-    edit.ask.change = change;
-    edit.ask.kind = "zone-orders";
-    edit.ask.expected = -1;
-    edit.ask.term = election.term();
+    edit.request.change_id = change;
+    edit.request.kind = "zone-orders";
+    edit.request.expected_version = -1;
+    edit.request.term = election.term();
     edit.from = Address{"b"};
     edits.take(std::move(edit), now);
   };
@@ -257,7 +257,7 @@
   EXPECT_EQ(proposer.changes_in_hand(), 0u);
   auto ended = edits.take_ended();
   ASSERT_EQ(ended.size(), 1u);
-  EXPECT_EQ(ended[0].answer.code, 503);
+  EXPECT_EQ(ended[0].response.code, 503);
   take("after");
   edits.run(MapVersion{}, now);
   EXPECT_EQ(proposer.changes_in_hand(), 1u);
--- a/packages/control-plane/tests/traffic_edits_test.cpp
+++ b/packages/control-plane/tests/routing_table_edits_test.cpp
@@ -1,5 +1,5 @@
 // Changes of the traffic table worked out on the register's state.
-#include "emberdale/traffic_edits.hpp"
+#include "emberdale/routing_table_edits.hpp"
 
 #include <gtest/gtest.h>
 
@@ -13,27 +13,27 @@
 
 namespace {
 
-std::string table(Integer revision, const std::string& prefix = "/x/") {
+std::string table(std::int64_t revision, const std::string& prefix = "/x/") {
   return R"({"revision":)" + std::to_string(revision) +
          R"(,"routes":[{"name":"r1","host":"a.example","path_prefix":")" + prefix +
          R"(","kind":"retry_safe","horizon_ms":8000,"pool":"m"}],"pools":[{"name":"m"}]})";
 }
 
-EditAsk edit(const std::string& act, Integer base, const std::string& body) {
-  return EditAsk{1, "change", act, traffic_kind, traffic_name, base, body};
+EditRequest edit(const std::string& act, std::int64_t base, const std::string& body) {
+  return EditRequest{1, "change", act, routing_table_kind, routing_table_name, base, body};
 }
 
 // A state that holds other resources as well, which no change of the table may touch.
 FleetState blank_state() {
   FleetState state;
-  state.resources = {{orders_kind, "a", 3, 4, R"({"state":"emptied"})"}, {traffic_kind, "other", 5, 6, "kept"}};
+  state.resources = {{orders_kind, "a", 3, 4, R"({"state":"emptied"})"}, {routing_table_kind, "other", 5, 6, "kept"}};
   state.deleted_version = 9;
   state.config_revision = 6;
   return state;
 }
 
-FleetState after(FleetState state, const EditAsk& ask) {
-  TrafficEditResult result = apply_traffic_edit(state, ask, state.config_revision + 1);
+FleetState after(FleetState state, const EditRequest& request) {
+  RoutingTableEditResult result = apply_routing_table_edit(state, request, state.config_revision + 1);
   EXPECT_EQ(result.edit.code, 200) << result.edit.reason;
   state.resources = result.edit.resources;
   state.deleted_version = result.edit.deleted_version;
@@ -42,8 +42,9 @@
 }
 
 const Resource* table_in(const std::vector<Resource>& resources) {
-  auto found = std::find_if(resources.begin(), resources.end(),
-                            [](const Resource& r) { return r.kind == traffic_kind && r.name == traffic_name; });
+  auto found = std::find_if(resources.begin(), resources.end(), [](const Resource& r) {
+    return r.kind == routing_table_kind && r.name == routing_table_name;
+  });
   return found == resources.end() ? nullptr : &*found;
 }
 
@@ -57,10 +58,10 @@
 
 }  // namespace
 
-TEST(TrafficEdits, TheFirstTableIsAddedAndOthersStayAsTheyAre) {
+TEST(RoutingTableEdits, TheFirstTableIsAddedAndOthersStayAsTheyAre) {
   FleetState blank = blank_state();
-  EXPECT_EQ(traffic_document_of(blank), "");
-  TrafficEditResult result = apply_traffic_edit(blank, edit("replace", 0, table(7)), 7);
+  EXPECT_EQ(routing_table_document_of(blank), "");
+  RoutingTableEditResult result = apply_routing_table_edit(blank, edit("replace", 0, table(7)), 7);
   ASSERT_EQ(result.edit.code, 200) << result.edit.reason;
   EXPECT_FALSE(result.is_repeat);
   EXPECT_EQ(result.edit.version, 7);
@@ -71,66 +72,68 @@
   ASSERT_NE(added, nullptr);
   EXPECT_EQ(added->version, 7);          // the operator's revision
   EXPECT_EQ(added->config_revision, 7);  // the register's
-  EXPECT_EQ(Json::parse(traffic_document_of(after(blank, edit("replace", 0, table(7))))), Json::parse(table(7)));
+  EXPECT_EQ(Json::parse(routing_table_document_of(after(blank, edit("replace", 0, table(7))))), Json::parse(table(7)));
 }
 
-TEST(TrafficEdits, OfTwoChangesOnOneBaseOneIsTaken) {
+TEST(RoutingTableEdits, OfTwoChangesOnOneBaseOneIsTaken) {
   FleetState state = after(blank_state(), edit("replace", 0, table(7)));
   FleetState won = after(state, edit("replace", 7, table(9, "/won/")));
-  TrafficEditResult lost = apply_traffic_edit(won, edit("replace", 7, table(12, "/lost/")), won.config_revision + 1);
+  RoutingTableEditResult lost =
+      apply_routing_table_edit(won, edit("replace", 7, table(12, "/lost/")), won.config_revision + 1);
   EXPECT_EQ(lost.edit.code, 412);
   EXPECT_EQ(lost.edit.version, 9);
   EXPECT_FALSE(lost.is_repeat);
   EXPECT_EQ(shown(lost.edit.resources), shown(won.resources));
-  EXPECT_EQ(Json::parse(traffic_document_of(won)), Json::parse(table(9, "/won/")));
+  EXPECT_EQ(Json::parse(routing_table_document_of(won)), Json::parse(table(9, "/won/")));
 }
 
-TEST(TrafficEdits, TheSameChangeAgainWritesNothingAlsoAfterOthers) {
+TEST(RoutingTableEdits, TheSameChangeAgainWritesNothingAlsoAfterOthers) {
   FleetState state = after(blank_state(), edit("replace", 0, table(7)));
   state = after(state, edit("replace", 7, table(9)));
   state = after(state, edit("replace", 9, table(30)));
-  EditAsk again = edit("replace", 7, table(9));
-  again.change = "sent-again";  // a copy from elsewhere has another id
-  TrafficEditResult result = apply_traffic_edit(state, again, state.config_revision + 1);
+  EditRequest again = edit("replace", 7, table(9));
+  again.change_id = "sent-again";  // a copy from elsewhere has another id
+  RoutingTableEditResult result = apply_routing_table_edit(state, again, state.config_revision + 1);
   EXPECT_EQ(result.edit.code, 200);
   EXPECT_TRUE(result.is_repeat);
   EXPECT_EQ(result.edit.version, 30);
   EXPECT_EQ(shown(result.edit.resources), shown(state.resources));
 }
 
-TEST(TrafficEdits, AChangeTooOldToTellIsNeitherAcknowledgedNorRefused) {
+TEST(RoutingTableEdits, AChangeTooOldToTellIsNeitherAcknowledgedNorRefused) {
   FleetState state = blank_state();
-  for (Integer revision = 1; revision <= 131; ++revision)
+  for (std::int64_t revision = 1; revision <= 131; ++revision)
     state = after(state, edit("replace", revision - 1, table(revision)));
   state = *decode_state(encode_state(state));  // as after a restart
-  EXPECT_TRUE(apply_traffic_edit(state, edit("replace", 130, table(131)), state.config_revision + 1).is_repeat);
-  EXPECT_TRUE(apply_traffic_edit(state, edit("replace", 3, table(4)), state.config_revision + 1).is_repeat);
-  TrafficEditResult old = apply_traffic_edit(state, edit("replace", 2, table(3)), state.config_revision + 1);
+  EXPECT_TRUE(apply_routing_table_edit(state, edit("replace", 130, table(131)), state.config_revision + 1).is_repeat);
+  EXPECT_TRUE(apply_routing_table_edit(state, edit("replace", 3, table(4)), state.config_revision + 1).is_repeat);
+  RoutingTableEditResult old = apply_routing_table_edit(state, edit("replace", 2, table(3)), state.config_revision + 1);
   EXPECT_EQ(old.edit.code, 504);
   EXPECT_FALSE(old.is_repeat);
   EXPECT_EQ(shown(old.edit.resources), shown(state.resources));
 }
 
-TEST(TrafficEdits, AnAmendmentChangesWhatItNames) {
+TEST(RoutingTableEdits, AnAmendmentChangesWhatItNames) {
   FleetState state = after(blank_state(), edit("replace", 0, table(7)));
   state = after(state, edit("amend", 7,
                             R"({"revision":9,"upsert":{"pools":[{"name":"n"}],"routes":[{"name":"r2","host":"b.example",
     "path_prefix":"/","kind":"once_only","horizon_ms":5,"pool":"n"}]}})"));
-  Json document = Json::parse(traffic_document_of(state));
+  Json document = Json::parse(routing_table_document_of(state));
   EXPECT_EQ(document["revision"], 9);
   EXPECT_EQ(document["routes"].size(), 2u);
   EXPECT_EQ(document["routes"][0], Json::parse(table(7))["routes"][0]);
-  EXPECT_EQ(std::count_if(state.resources.begin(), state.resources.end(),
-                          [](const Resource& r) { return r.kind == traffic_kind && r.name == traffic_name; }),
-            1);
+  EXPECT_EQ(
+      std::count_if(state.resources.begin(), state.resources.end(),
+                    [](const Resource& r) { return r.kind == routing_table_kind && r.name == routing_table_name; }),
+      1);
   state = after(state, edit("amend", 9, R"({"revision":15,"remove":{"routes":["r1"]}})"));
-  EXPECT_EQ(Json::parse(traffic_document_of(state))["routes"][0]["name"], "r2");
+  EXPECT_EQ(Json::parse(routing_table_document_of(state))["routes"][0]["name"], "r2");
   EXPECT_EQ(table_in(state.resources)->version, 15);
 }
 
-TEST(TrafficEdits, ARefusalLeavesTheStateAsItWas) {
+TEST(RoutingTableEdits, ARefusalLeavesTheStateAsItWas) {
   FleetState state = after(blank_state(), edit("replace", 0, table(7)));
-  const std::vector<std::pair<EditAsk, int>> refused{
+  const std::vector<std::pair<EditRequest, int>> refused{
       {edit("replace", 7, "oops"), 400},
       {edit("replace", 7, R"({"revision":1e999})"), 400},
       {edit("replace", 7, R"({"revision":9})"), 400},  // neither routes nor pools
@@ -144,8 +147,8 @@
       {edit("delete", 7, ""), 400},
   };
   for (const auto& [ask, code] : refused) {
-    TrafficEditResult result = apply_traffic_edit(state, ask, state.config_revision + 1);
-    EXPECT_EQ(result.edit.code, code) << ask.act << " " << ask.body;
+    RoutingTableEditResult result = apply_routing_table_edit(state, ask, state.config_revision + 1);
+    EXPECT_EQ(result.edit.code, code) << ask.action << " " << ask.body;
     EXPECT_EQ(shown(result.edit.resources), shown(state.resources)) << ask.body;
     EXPECT_EQ(result.edit.deleted_version, state.deleted_version);
     EXPECT_EQ(result.edit.version, 7);
--- a/packages/control-plane/tests/runner_list_test.cpp
+++ b/packages/control-plane/tests/runner_list_test.cpp
@@ -7,11 +7,11 @@
 
 namespace {
 
-const Moment start{100000};
+const TimePoint start{100000};
 
-Moment after(std::int64_t span) { return start + Span{span}; }
+TimePoint after(std::int64_t span) { return start + Duration{span}; }
 
-ListedRunner listed(const std::string& name, const std::string& zone = "a", std::int64_t cold_left = 0) {
+ListedRunner listed(const std::string& name, const std::string& zone = "a", std::int64_t warmup_left = 0) {
   ListedRunner runner;
   runner.name.text = name;
   runner.http = name + ":80";
@@ -19,14 +19,14 @@
   runner.zone.text = zone;
   runner.region.text = "north";
   runner.slots = 64;
-  runner.cold_left = Span{cold_left};
+  runner.warmup_left = Duration{warmup_left};
   return runner;
 }
 
-std::map<PoolName, TrafficPool> pools(double cold_per_s = 45) {
-  TrafficPool pool;
+std::map<PoolName, RoutePool> pools(double warmup_requests_per_s = 45) {
+  RoutePool pool;
   pool.name.text = "models";
-  pool.cold_per_s = cold_per_s;
+  pool.warmup_requests_per_s = warmup_requests_per_s;
   return {{pool.name, pool}};
 }
 
@@ -36,19 +36,21 @@
   return list;
 }
 
-RunnerStatus status_of(const RunnerList& list, const std::string& name, Moment now,
-                       std::map<RunnerName, RunnerStatus> statuses = {}, double cold_per_s = 45) {
-  list.fill(statuses, pools(cold_per_s), now);
+RunnerStatus status_of(const RunnerList& list, const std::string& name, TimePoint now,
+                       std::map<RunnerName, RunnerStatus> statuses = {}, double warmup_requests_per_s = 45) {
+  list.fill(statuses, pools(warmup_requests_per_s), now);
   return statuses.at(RunnerName{name});
 }
 
-bool is_cold(const RunnerList& list, const std::string& name, Moment now) { return status_of(list, name, now).cold; }
+bool is_warming_up(const RunnerList& list, const std::string& name, TimePoint now) {
+  return status_of(list, name, now).is_warming_up;
+}
 
-std::map<RunnerName, RunnerStatus> probed(const std::string& name, bool answers, bool is_cold) {
+std::map<RunnerName, RunnerStatus> probed(const std::string& name, bool answers, bool is_warming_up) {
   RunnerStatus status;
   status.name.text = name;
-  status.answers = answers;
-  status.cold = is_cold;
+  status.is_reachable = answers;
+  status.is_warming_up = is_warming_up;
   return {{status.name, status}};
 }
 
@@ -77,29 +79,29 @@
 TEST(RunnerList, ColdByTheListCountsFromTheBeginOfItsReading) {
   RunnerList list = begun();
   list.take({listed("r1", "a", 3000), listed("r2")}, after(0), after(400));
-  EXPECT_TRUE(is_cold(list, "r1", after(2999)));
-  EXPECT_FALSE(is_cold(list, "r1", after(3000)));
-  EXPECT_FALSE(is_cold(list, "r2", after(400)));
+  EXPECT_TRUE(is_warming_up(list, "r1", after(2999)));
+  EXPECT_FALSE(is_warming_up(list, "r1", after(3000)));
+  EXPECT_FALSE(is_warming_up(list, "r2", after(400)));
   // The list lags: one that says less does not end it sooner, one that says more makes it longer.
   list.take({listed("r1", "a", 0)}, after(900), after(910));
-  EXPECT_TRUE(is_cold(list, "r1", after(2999)));
+  EXPECT_TRUE(is_warming_up(list, "r1", after(2999)));
   list.take({listed("r1", "a", 5000)}, after(1800), after(1810));
-  EXPECT_TRUE(is_cold(list, "r1", after(6799)));
-  EXPECT_FALSE(is_cold(list, "r1", after(6800)));
+  EXPECT_TRUE(is_warming_up(list, "r1", after(6799)));
+  EXPECT_FALSE(is_warming_up(list, "r1", after(6800)));
 }
 
 TEST(RunnerList, ColdByAProbeAndNeverInAPoolThatKnowsNoCold) {
   RunnerList list = begun();
   list.take({listed("r1", "a", 0)}, start, start);
-  EXPECT_FALSE(status_of(list, "r1", start, probed("r1", true, false)).cold);
+  EXPECT_FALSE(status_of(list, "r1", start, probed("r1", true, false)).is_warming_up);
   RunnerStatus cold = status_of(list, "r1", start, probed("r1", true, true));
-  EXPECT_TRUE(cold.cold);
+  EXPECT_TRUE(cold.is_warming_up);
   EXPECT_EQ(cold.capacity, 64);
   EXPECT_EQ(cold.allowance, 45);
-  EXPECT_FALSE(status_of(list, "r1", start, probed("r1", true, true), 0).cold);
+  EXPECT_FALSE(status_of(list, "r1", start, probed("r1", true, true), 0).is_warming_up);
   RunnerList early = begun();
   early.take({listed("r1", "a", 3000)}, start, start);
-  EXPECT_FALSE(status_of(early, "r1", start, {}, 0).cold);
+  EXPECT_FALSE(status_of(early, "r1", start, {}, 0).is_warming_up);
 }
 
 TEST(RunnerList, AListedRunnerAnswersUnlessAProbeSaysOtherwise) {
@@ -107,8 +109,8 @@
   ListedRunner bare = listed("r2");
   bare.slots = 0;
   list.take({listed("r1"), bare}, start, start);
-  EXPECT_TRUE(status_of(list, "r1", start).answers);
-  EXPECT_FALSE(status_of(list, "r1", start, probed("r1", false, false)).answers);
+  EXPECT_TRUE(status_of(list, "r1", start).is_reachable);
+  EXPECT_FALSE(status_of(list, "r1", start, probed("r1", false, false)).is_reachable);
   EXPECT_GT(status_of(list, "r2", start).capacity, 0);  // slots not told
   std::map<RunnerName, RunnerStatus> statuses = probed("unlisted", true, false);
   list.fill(statuses, pools(), start);
@@ -119,15 +121,15 @@
   RunnerList list = begun();
   list.take({listed("r1", "a"), listed("r2", "b")}, start, start);
   list.zone_taken_back(ZoneName{"a"}, after(100));
-  EXPECT_TRUE(is_cold(list, "r1", after(100)));
-  EXPECT_FALSE(is_cold(list, "r2", after(100)));
+  EXPECT_TRUE(is_warming_up(list, "r1", after(100)));
+  EXPECT_FALSE(is_warming_up(list, "r2", after(100)));
   // A reading that began too early may still tell of before, whenever it ends.
-  Moment caught_up = after(100) + RunnerList::lag_allowed;
-  list.take({listed("r1", "a"), listed("r2", "b")}, Moment{caught_up.value - 1}, after(5000));
-  EXPECT_TRUE(is_cold(list, "r1", after(5000)));
+  TimePoint caught_up = after(100) + RunnerList::lag_allowed;
+  list.take({listed("r1", "a"), listed("r2", "b")}, TimePoint{caught_up.value - 1}, after(5000));
+  EXPECT_TRUE(is_warming_up(list, "r1", after(5000)));
   list.take({listed("r1", "a", 2000), listed("r2", "b")}, caught_up, after(5100));
-  EXPECT_TRUE(is_cold(list, "r1", caught_up + Span{1999}));  // now by the list's own word
-  EXPECT_FALSE(is_cold(list, "r1", caught_up + Span{2000}));
+  EXPECT_TRUE(is_warming_up(list, "r1", caught_up + Duration{1999}));  // now by the list's own word
+  EXPECT_FALSE(is_warming_up(list, "r1", caught_up + Duration{2000}));
 }
 
 TEST(RunnerList, AnEmptyListIsBelievedTheThirdTimeInARowOnly) {
@@ -152,12 +154,12 @@
   RunnerList list = begun();
   ASSERT_TRUE(list.is_read_due(start));
   list.take({listed("r1")}, start, after(100));
-  EXPECT_FALSE(list.is_read_due(Moment{(start + RunnerList::read_pace).value - 1}));
+  EXPECT_FALSE(list.is_read_due(TimePoint{(start + RunnerList::read_pace).value - 1}));
   ASSERT_TRUE(list.is_read_due(start + RunnerList::read_pace));
   list.failed();
   EXPECT_TRUE(list.is_known());
   EXPECT_EQ(list.entries().size(), 1u);
-  Moment failed_at = start + RunnerList::read_pace;
+  TimePoint failed_at = start + RunnerList::read_pace;
   EXPECT_FALSE(list.is_read_due(failed_at));  // not at once: the list's calls are counted
   EXPECT_TRUE(list.is_read_due(failed_at + RunnerList::read_pace));
 }
@@ -183,7 +185,7 @@
   EXPECT_TRUE(list.entries().empty());
   EXPECT_TRUE(list.is_read_due(after(1000)));
   list.take({listed("r1")}, after(1000), after(1000));
-  EXPECT_FALSE(is_cold(list, "r1", after(1000)));
+  EXPECT_FALSE(is_warming_up(list, "r1", after(1000)));
   list.take({}, after(1000), after(1000));  // the empty lists of before don't count
   EXPECT_EQ(list.entries().size(), 1u);
 }
--- a/packages/control-plane/tests/stale_daemon_test.cpp
+++ b/packages/control-plane/tests/stale_daemon_test.cpp
@@ -11,7 +11,7 @@
 // Reads asked of one daemon one after the other, and how they ended.
 struct Reads {
   int asked = 0, answered = 0, unanswered = 0;
-  std::vector<Integer> versions;
+  std::vector<std::int64_t> versions;
 };
 
 std::shared_ptr<Reads> read_steadily(MachineFleet& fleet, const std::string& where, int count, std::int64_t pace) {
@@ -19,7 +19,7 @@
   for (int i = 0; i < count; ++i)
     fleet.later(i * pace, [&fleet, reads, where] {
       ++reads->asked;
-      fleet.act(where, [reads](ControlDaemon& daemon, Moment now) {
+      fleet.act(where, [reads](ControlDaemon& daemon, TimePoint now) {
         daemon.read(
             [reads](const FleetState* state) {
               if (state == nullptr)
@@ -53,19 +53,20 @@
   auto names = bring_up(fleet, 3);
   std::string reader = fleet.master() == names[1] ? names[2] : names[1];
   fleet.delay = 0;  // question and answer fit into one millisecond
-  Integer last_question = 0;
-  std::map<Integer, int> answers;  // by question
+  std::int64_t last_question = 0;
+  std::map<std::int64_t, int> answers;  // by question
   fleet.on_send = [&](const std::string& from, const Address& to, const Message& message) {
-    if (const auto* ask = std::get_if<ReadAsk>(&message); ask != nullptr && from == reader)
-      last_question = ask->ask;
-    if (const auto* answer = std::get_if<ReadAnswer>(&message); answer != nullptr && to == fleet.at(reader).address)
-      ++answers[answer->ask];
+    if (const auto* request = std::get_if<ReadRequest>(&message); request != nullptr && from == reader)
+      last_question = request->request_id;
+    if (const auto* response = std::get_if<ReadResponse>(&message);
+        response != nullptr && to == fleet.at(reader).address)
+      ++answers[response->request_id];
   };
   // Reads until its callback has come; what it was answered by: answers to questions that were asked after it.
   auto read_once = [&] {
-    Integer asked_before = last_question;
+    std::int64_t asked_before = last_question;
     int counted = -1;
-    fleet.act(reader, [&](ControlDaemon& daemon, Moment now) {
+    fleet.act(reader, [&](ControlDaemon& daemon, TimePoint now) {
       daemon.read(
           [&](const FleetState* state) {
             ASSERT_NE(state, nullptr);
@@ -103,26 +104,26 @@
 
 namespace {
 
-Subscribe subscribe_from_blank(Integer stamp) {
+Subscribe subscribe_from_blank(std::int64_t stamp) {
   Subscribe subscribe;
   subscribe.sender = DaemonEntry{Address{"10.0.1.1:7001"}, "http-d", "data", ZoneName{"a"}, RegionName{"north"}, 1};
   subscribe.topics.push_back({plans_topic, MapVersion{}});
-  subscribe.stamp = stamp;
+  subscribe.sent_at = stamp;
   return subscribe;
 }
 
 // News that one machine sends from now on, and when.
 struct SentNews {
   std::int64_t at;
-  SliceNews news;
+  SliceUpdate update;
 };
 
 std::shared_ptr<std::vector<SentNews>> watch_news(MachineFleet& fleet, const std::string& of) {
   auto sent = std::make_shared<std::vector<SentNews>>();
   fleet.on_send = [&fleet, sent, of](const std::string& from, const Address&, const Message& message) {
-    const auto* news = std::get_if<SliceNews>(&message);
-    if (news != nullptr && from == of)
-      sent->push_back({fleet.now(), *news});
+    const auto* update = std::get_if<SliceUpdate>(&message);
+    if (update != nullptr && from == of)
+      sent->push_back({fleet.now(), *update});
   };
   return sent;
 }
@@ -139,12 +140,12 @@
     fleet.freeze(elder, true);
     fleet.run(20000);
     ASSERT_TRUE(fleet.edit_until_done(4000)) << fleet.story();
-    Integer elder_term = fleet.at(elder).control->map().version.term;
+    std::int64_t elder_term = fleet.at(elder).control->map().version.term;
     auto sent = watch_news(fleet, elder);
     Address newcomer = subscribe_from_blank(0).sender.address;
     for (std::int64_t i = 0; i < 10; ++i)
       fleet.later(i * 200, [&, i] {
-        fleet.act(elder, [&](ControlDaemon& daemon, Moment now) {
+        fleet.act(elder, [&](ControlDaemon& daemon, TimePoint now) {
           daemon.on_message(newcomer, subscribe_from_blank(i + 1), now);
         });
       });
@@ -153,8 +154,9 @@
     fleet.run(4000);
     ASSERT_FALSE(sent->empty());
     for (const auto& [at, news] : *sent)
-      EXPECT_TRUE(news.version.term > elder_term || news.age >= 20000)
-          << at - woke << " ms after it woke it tells of " << show(news.version) << " with the age " << news.age;
+      EXPECT_TRUE(news.version.term > elder_term || news.quorum_age_ms >= 20000)
+          << at - woke << " ms after it woke it tells of " << show(news.version) << " with the age "
+          << news.quorum_age_ms;
     if (HasFailure())
       return;
   }
@@ -177,15 +179,15 @@
     Address newcomer = subscribe_from_blank(0).sender.address;
     for (std::int64_t i = 0; i < 100; ++i)
       fleet.later(i * 200, [&, i] {
-        fleet.act(elder, [&](ControlDaemon& daemon, Moment now) {
+        fleet.act(elder, [&](ControlDaemon& daemon, TimePoint now) {
           daemon.on_message(newcomer, subscribe_from_blank(i + 1), now);
         });
       });
     fleet.run(20000);
     ASSERT_FALSE(sent->empty());
     for (const auto& [at, news] : *sent) {
-      EXPECT_GE(news.age, at - cut) << at - cut << " ms after the cut";
-      EXPECT_LE(news.age, at - cut + 1300)
+      EXPECT_GE(news.quorum_age_ms, at - cut) << at - cut << " ms after the cut";
+      EXPECT_LE(news.quorum_age_ms, at - cut + 1300)
           << at - cut << " ms after the cut";  // and it is not told as older than it is
     }
   }
@@ -199,10 +201,10 @@
   fleet.power_cut(late);
   ASSERT_TRUE(fleet.edit_until_done(8000)) << fleet.story();
   for (const auto& name : names)
-    fleet.cut_link(name, late);
+    fleet.cut_connection(name, late);
   fleet.start(late, false);
-  fleet.act(late, [&](ControlDaemon& daemon, Moment now) {
-    daemon.on_message(Address{"10.0.0.99:7000"}, MapNews{elder_map, false}, now);
+  fleet.act(late, [&](ControlDaemon& daemon, TimePoint now) {
+    daemon.on_message(Address{"10.0.0.99:7000"}, PlacementUpdate{elder_map, false}, now);
   });
   fleet.run(3000);
   EXPECT_EQ(show(fleet.at(late).control->map().version), show(MapVersion{}));
@@ -226,7 +228,7 @@
       std::map<std::string, std::vector<std::int64_t>> readings;
       std::function<void()> read_lists = [&] {
         for (const auto& name : fleet.running())
-          fleet.act(name, [&](ControlDaemon& daemon, Moment now) {
+          fleet.act(name, [&](ControlDaemon& daemon, TimePoint now) {
             if (!daemon.takes_list(now))
               return;
             readings[name].push_back(fleet.now());
@@ -277,15 +279,16 @@
       subscribe.sender = DaemonEntry{address_of(name), "http-" + name, "data", ZoneName{zone}, RegionName{"north"}, 1};
       subscribe.topics.push_back({plans_topic, MapVersion{1, 1}});
       subscribe.version = MapVersion{1, 1};
-      subscribe.stamp = fleet_.now() + 1;
-      fleet_.act(home, [&](ControlDaemon& daemon, Moment now) { daemon.on_message(address_of(name), subscribe, now); });
+      subscribe.sent_at = fleet_.now() + 1;
+      fleet_.act(home,
+                 [&](ControlDaemon& daemon, TimePoint now) { daemon.on_message(address_of(name), subscribe, now); });
     }
     fleet_.later(400, [=] { subscribe_again(name, zone, home, is_alive); });
   }
 
   std::set<std::string> named_by(const std::string& machine, const std::string& zone) {
     std::set<std::string> named;
-    fleet_.act(machine, [&](ControlDaemon& daemon, Moment now) {
+    fleet_.act(machine, [&](ControlDaemon& daemon, TimePoint now) {
       for (const auto& http : daemon.front_addresses(RegionName{"north"}, ZoneName{zone}, 64, now))
         named.insert(http);
     });
@@ -321,7 +324,7 @@
   // From here on it hears no other control daemon, and one of its data daemons dies.
   is_first_alive = false;
   for (const auto& name : names)
-    fleet.cut_link(name, cut_off);
+    fleet.cut_connection(name, cut_off);
   std::int64_t cut = fleet.now();
   std::int64_t last_named_dead = 0, last_named_far = 0;
   for (std::int64_t ms = 0; ms < 20000; ms += 100) {
@@ -380,13 +383,13 @@
 
 // Asks the machine for a read and an edit, and looks at its map, every 250 ms.
 void question(MachineFleet& fleet, const std::string& name, const std::shared_ptr<Said>& said,
-              const std::shared_ptr<Integer>& acknowledged, int life, MapVersion last) {
+              const std::shared_ptr<std::int64_t>& acknowledged, int incarnation, MapVersion last) {
   if (fleet.at(name).is_up && !fleet.at(name).is_frozen) {
     MapVersion shown = fleet.at(name).control->map().version;
-    said->steps_back += life == fleet.at(name).life && shown < last;
-    life = fleet.at(name).life;
+    said->steps_back += incarnation == fleet.at(name).incarnation && shown < last;
+    incarnation = fleet.at(name).incarnation;
     last = shown;
-    fleet.act(name, [&](ControlDaemon& daemon, Moment now) {
+    fleet.act(name, [&](ControlDaemon& daemon, TimePoint now) {
       daemon.read(
           [said, floor = *acknowledged](const FleetState* state) {
             said->reads += state != nullptr;
@@ -399,8 +402,9 @@
       said->refused_edits += outcome->is_over && outcome->code >= 400 && outcome->code < 500;
     });
   }
-  fleet.later(
-      250, [&fleet, name, said, acknowledged, life, last] { question(fleet, name, said, acknowledged, life, last); });
+  fleet.later(250, [&fleet, name, said, acknowledged, incarnation, last] {
+    question(fleet, name, said, acknowledged, incarnation, last);
+  });
 }
 
 }  // namespace
@@ -419,8 +423,8 @@
             lone = lone == names[0] ? names[1] : names[0];
           std::string other = lone == names[2] ? names[1] : names[2];
           auto said = std::make_shared<Said>();
-          auto acknowledged = std::make_shared<Integer>(fleet.state(fleet.master()).config_revision);
-          question(fleet, lone, said, acknowledged, fleet.at(lone).life, MapVersion{});
+          auto acknowledged = std::make_shared<std::int64_t>(fleet.state(fleet.master()).config_revision);
+          question(fleet, lone, said, acknowledged, fleet.at(lone).incarnation, MapVersion{});
           for (const auto& name : names)
             if (name != lone) {
               if (cut != Cut::deaf)
--- a/packages/control-plane/tests/support/machine_fleet.hpp
+++ b/packages/control-plane/tests/support/machine_fleet.hpp
@@ -28,11 +28,11 @@
   std::shared_ptr<MemoryFileSystem> files = std::make_shared<MemoryFileSystem>();
   std::unique_ptr<SegmentedLog> log;
   std::unique_ptr<ControlDaemon> control;
-  std::vector<WriteWish> to_write;
+  std::vector<LogWrite> to_write;
   std::vector<std::function<void()>> requests;  // of operators, in the sockets of a frozen process
   std::int64_t clock = 0;
   std::int64_t disk_delay = 0;  // on top of the few milliseconds that each sync takes
-  int starts = 0, life = 0, foundings = 0;
+  int starts = 0, incarnation = 0, bootstraps = 0;
   bool has_disk = true;  // without one it keeps no replica
   bool is_up = false, has_power = true, is_writing = false, is_frozen = false;
   bool keeps_what_comes = false;  // while frozen: messages wait in its buffers, and are taken in when it wakes
@@ -43,7 +43,7 @@
 
 struct EditOutcome {
   bool is_over = false;
-  Integer code = 0;
+  std::int64_t code = 0;
   std::string name;
   std::int64_t asked = 0, over = 0;
   bool is_acknowledged() const { return code == 200 || code == 201; }
@@ -71,7 +71,7 @@
 
   Machine& at(const std::string& name) { return *machines_.at(name); }
   std::int64_t now() const { return now_; }
-  Moment clock(const Machine& made) const { return Moment{now_ + made.clock}; }
+  TimePoint clock(const Machine& made) const { return TimePoint{now_ + made.clock}; }
 
   void add(const std::string& name, const std::string& zone, bool is_seed) {
     auto made = std::make_unique<Machine>();
@@ -98,7 +98,7 @@
     return names;
   }
 
-  void start(const std::string& name, bool founds_itself) {
+  void start(const std::string& name, bool bootstraps_itself) {
     Machine& made = at(name);
     if (made.is_up)
       return;
@@ -106,7 +106,7 @@
     made.is_writing = made.is_frozen = false;
     made.to_write.clear();
     ++made.starts;
-    int life = ++made.life;
+    int incarnation = ++made.incarnation;
     made.log = std::make_unique<SegmentedLog>(made.files, segment_bound);
     auto opening = made.log->open("store-" + name + "-" + std::to_string(made.starts));
     ASSERT_TRUE(opening) << opening.reason;
@@ -118,7 +118,7 @@
     settings.self = DaemonEntry{made.address, "http-" + name, "edge", made.zone, RegionName{"north"}, made.starts};
     settings.seeds = made.seeds.empty() ? seeds_ : made.seeds;
     settings.random_seed = seed_ * 1000003 + stable_hash(name) + static_cast<std::uint64_t>(made.starts);
-    settings.founds_itself = founds_itself;
+    settings.bootstraps_itself = bootstraps_itself;
     settings.reconciles_membership = true;
     settings.acknowledges_at_once = true;
     if (adjust)
@@ -129,12 +129,12 @@
     made.control = std::make_unique<ControlDaemon>(settings, made.has_disk ? std::move(acceptor) : nullptr);
     made.control->journal().on_event = [this, &made](const JournalEvent& event) {
       if (event.kind == "founded")
-        ++made.foundings;
+        ++made.bootstraps;
       story_ += std::to_string(now_) + " " + made.name + " " + event.kind + " " + event.detail + "\n";
     };
     made.control->start(clock(made));
     flush(made);
-    later(1 + random_.below(25), [this, name, life] { tick(name, life); });
+    later(1 + random_.below(25), [this, name, incarnation] { tick(name, incarnation); });
   }
 
   // Who comes later is told of machines that run. Example: fleet.set_seeds(fleet.at("new"))
@@ -150,7 +150,7 @@
     if (!made.is_up)
       return;
     made.is_up = false;
-    ++made.life;
+    ++made.incarnation;
     made.control.reset();
     made.log.reset();
   }
@@ -160,9 +160,9 @@
     Machine& made = at(name);
     made.control->stop(clock(made));
     flush(made);
-    later(patience, [this, name, life = made.life] {
+    later(patience, [this, name, incarnation = made.incarnation] {
       Machine& ending = at(name);
-      if (!ending.is_up || ending.life != life)
+      if (!ending.is_up || ending.incarnation != incarnation)
         return;
       ending.control->answer_all(clock(ending));
       flush(ending);
@@ -177,7 +177,7 @@
       return;
     made.control->stop(clock(made));
     flush(made);
-    end_when_ready(name, made.life);
+    end_when_ready(name, made.incarnation);
   }
 
   // What was not synced is gone, or torn; nobody refuses links there. Example: fleet.power_cut("a0")
@@ -203,15 +203,15 @@
   }
 
   // Acts on one daemon, and sends what it wishes for.
-  // Example: fleet.act("a0", [&](ControlDaemon& daemon, Moment now) { daemon.read(done, now); });
-  void act(const std::string& name, const std::function<void(ControlDaemon&, Moment)>& does) {
+  // Example: fleet.act("a0", [&](ControlDaemon& daemon, TimePoint now) { daemon.read(done, now); });
+  void act(const std::string& name, const std::function<void(ControlDaemon&, TimePoint)>& does) {
     Machine& made = at(name);
     does(*made.control, clock(made));
     flush(made);
   }
 
   void cut_zone(const std::string& zone) { cut_zone_ = zone; }
-  void cut_link(const std::string& one, const std::string& other) {
+  void cut_connection(const std::string& one, const std::string& other) {
     cuts_.insert({one, other});
     cuts_.insert({other, one});
   }
@@ -246,7 +246,7 @@
   // --- what is seen -----------------------------------------------------------------------------
   std::string master() const {
     std::string best;
-    Integer term = 0;
+    std::int64_t term = 0;
     for (const auto& [name, made] : machines_)
       if (made->is_up && !made->is_frozen && made->control->election().is_master() &&
           made->control->election().term() > term) {
@@ -340,56 +340,57 @@
     });
   }
 
-  int foundings() const {
+  int bootstraps() const {
     int count = 0;
     for (const auto& [name, made] : machines_)
-      count += made->foundings;
+      count += made->bootstraps;
     return count;
   }
 
   std::shared_ptr<EditOutcome> edit(const std::string& where) {
-    EditAsk ask;
-    ask.act = "put";
-    ask.kind = "runners";
-    ask.expected = -1;
-    ask.name = "runner-" + std::to_string(last_edit_ + 1);
-    ask.body = R"({"address":"127.0.0.1:)" + std::to_string(20001 + last_edit_) +
-               R"(","pool":"models","zone":"a","region":"north","seal_key":"k"})";
-    return request(where, std::move(ask));
+    EditRequest edit_request;
+    edit_request.action = "put";
+    edit_request.kind = "runners";
+    edit_request.expected_version = -1;
+    edit_request.name = "runner-" + std::to_string(last_edit_ + 1);
+    edit_request.body = R"({"address":"127.0.0.1:)" + std::to_string(20001 + last_edit_) +
+                        R"(","pool":"models","zone":"a","region":"north","seal_key":"k"})";
+    return request(where, std::move(edit_request));
   }
 
   // An operator's order for a zone. Example: fleet.order("a0", "a", true)
-  std::shared_ptr<EditOutcome> order(const std::string& where, const std::string& zone, bool is_emptied) {
-    EditAsk ask;
-    ask.act = ensure_act;
-    ask.kind = "zone-orders";
-    ask.expected = -1;
-    ask.name = zone;
-    ask.body = is_emptied ? R"({"state":"emptied"})" : R"({"state":"serving"})";
-    return request(where, std::move(ask));
+  std::shared_ptr<EditOutcome> order(const std::string& where, const std::string& zone, bool is_evacuated) {
+    EditRequest edit_request;
+    edit_request.action = ensure_act;
+    edit_request.kind = "zone-orders";
+    edit_request.expected_version = -1;
+    edit_request.name = zone;
+    edit_request.body = is_evacuated ? R"({"state":"emptied"})" : R"({"state":"serving"})";
+    return request(where, std::move(edit_request));
   }
 
   // A runner is marked as leaving, or as staying. Example: fleet.mark_runner("a0", "runner-1", true)
   std::shared_ptr<EditOutcome> mark_runner(const std::string& where, const std::string& runner, bool is_leaving) {
-    EditAsk ask;
-    ask.act = "patch";
-    ask.kind = "runners";
-    ask.expected = -1;
-    ask.name = runner;
-    ask.body = is_leaving ? R"({"leaving":true})" : R"({"leaving":false})";
-    return request(where, std::move(ask));
+    EditRequest edit_request;
+    edit_request.action = "patch";
+    edit_request.kind = "runners";
+    edit_request.expected_version = -1;
+    edit_request.name = runner;
+    edit_request.body = is_leaving ? R"({"leaving":true})" : R"({"leaving":false})";
+    return request(where, std::move(edit_request));
   }
 
   // Any edit. To a frozen process it comes once that runs again.
-  std::shared_ptr<EditOutcome> request(const std::string& where, EditAsk ask) {
-    ask.change = "change-" + std::to_string(++last_edit_);
+  std::shared_ptr<EditOutcome> request(const std::string& where, EditRequest edit_request) {
+    edit_request.change_id = "change-" + std::to_string(++last_edit_);
     auto outcome = std::make_shared<EditOutcome>();
-    outcome->name = ask.name;
+    outcome->name = edit_request.name;
     outcome->asked = now_;
     if (at(where).is_frozen)
-      at(where).requests.push_back([this, where, ask, outcome] { take_request(where, ask, outcome); });
+      at(where).requests.push_back(
+          [this, where, edit_request, outcome] { take_request(where, edit_request, outcome); });
     else
-      take_request(where, ask, outcome);
+      take_request(where, edit_request, outcome);
     return outcome;
   }
 
@@ -455,7 +456,7 @@
       if (made->is_up) {
         const auto& election = made->control->election();
         text += " phase " + std::to_string(static_cast<int>(election.phase())) + " master " + election.master().text +
-                " starved " + std::to_string(election.starved_rounds()) + " state " +
+                " starved " + std::to_string(election.rounds_without_quorum()) + " state " +
                 std::to_string(state(name).version) + " map " + show(made->control->map().version) + " roster " +
                 std::to_string(state(name).roster.size()) + " set";
         for (const auto& entry : state(name).acceptors)
@@ -470,8 +471,9 @@
   RandomGenerator& random() { return random_; }
   std::size_t acknowledged() const { return acknowledged_.size(); }
 
-  // Lets something be asked of a daemon at its own time. Example: fleet.ask("a0", [&](auto& daemon, Moment now) {..});
-  void ask(const std::string& where, const std::function<void(ControlDaemon&, Moment)>& act) {
+  // Lets something be asked of a daemon at its own time. Example: fleet.ask("a0", [&](auto& daemon, TimePoint now)
+  // {..});
+  void ask(const std::string& where, const std::function<void(ControlDaemon&, TimePoint)>& act) {
     Machine& target = at(where);
     act(*target.control, clock(target));
     flush(target);
@@ -484,28 +486,28 @@
     bool operator<(const Event& other) const { return std::tie(other.at, other.number) < std::tie(at, number); }
   };
 
-  void tick(const std::string& name, int life) {
+  void tick(const std::string& name, int incarnation) {
     Machine& made = at(name);
-    if (!made.is_up || made.life != life)
+    if (!made.is_up || made.incarnation != incarnation)
       return;
     if (!made.is_frozen) {
       made.control->on_timer(clock(made));
       flush(made);
     }
-    later(25, [this, name, life] { tick(name, life); });
+    later(25, [this, name, incarnation] { tick(name, incarnation); });
   }
 
-  void end_when_ready(const std::string& name, int life) {
+  void end_when_ready(const std::string& name, int incarnation) {
     Machine& made = at(name);
-    if (!made.is_up || made.life != life)
+    if (!made.is_up || made.incarnation != incarnation)
       return;
     if (made.control->is_ready_to_end())
-      later(300, [this, name, life] {
-        if (at(name).life == life)
+      later(300, [this, name, incarnation] {
+        if (at(name).incarnation == incarnation)
           kill(name);
       });
     else
-      later(20, [this, name, life] { end_when_ready(name, life); });
+      later(20, [this, name, incarnation] { end_when_ready(name, incarnation); });
   }
 
   bool is_cut(const Machine& from, const Machine& to) const {
@@ -550,9 +552,9 @@
         return;  // its buffers are small
       if (counts_bytes && from != name)
         awake.received += static_cast<std::int64_t>(encode_message(*shared).size());
-      auto take_in = [this, name, sender, shared, life = awake.life] {
+      auto take_in = [this, name, sender, shared, incarnation = awake.incarnation] {
         Machine& made = at(name);
-        if (!made.is_up || made.life != life)
+        if (!made.is_up || made.incarnation != incarnation)
           return;
         made.control->on_message(sender, *shared, clock(made));
         flush(made);
@@ -576,15 +578,16 @@
       deliver(frame.from, frame.to, std::move(frame.message));
   }
 
-  void take_request(const std::string& where, const EditAsk& ask, const std::shared_ptr<EditOutcome>& outcome) {
+  void take_request(const std::string& where, const EditRequest& edit_request,
+                    const std::shared_ptr<EditOutcome>& outcome) {
     Machine& target = at(where);
     if (!target.is_up)
       return;
     target.control->edit(
-        ask,
-        [this, outcome](const EditAnswer& answer) {
+        edit_request,
+        [this, outcome](const EditResponse& response) {
           outcome->is_over = true;
-          outcome->code = answer.code;
+          outcome->code = response.code;
           outcome->over = now_;
           if (outcome->is_acknowledged())
             acknowledged_.insert(outcome->name);
@@ -594,12 +597,12 @@
   }
 
   void flush(Machine& made) {
-    for (auto& write : made.control->take_writes())
+    for (auto& write : made.control->drain_writes())
       made.to_write.push_back(std::move(write));
     start_writing(made);
-    for (auto& sending : made.control->take_out())
-      deliver(made.name, sending.to, std::move(sending.message));
-    made.control->take_probes();
+    for (auto& outbound : made.control->drain_outbound())
+      deliver(made.name, outbound.to, std::move(outbound.message));
+    made.control->drain_probes();
     if (!made.control->proposer().has_state())
       return;
     const FleetState& shown = state(made.name);
@@ -615,15 +618,15 @@
     if (made.is_writing || made.to_write.empty())
       return;
     made.is_writing = true;
-    std::vector<WriteWish> batch = std::exchange(made.to_write, {});
+    std::vector<LogWrite> batch = std::exchange(made.to_write, {});
     std::vector<std::string> records;
     for (auto& write : batch)
       records.push_back(write.record);
     ASSERT_TRUE(made.log->append(records));
     later((sync_time + random_.below(sync_time + 1)) * made.disk_slowness + made.disk_delay,
-          [this, name = made.name, life = made.life, last = batch.back().token] {
+          [this, name = made.name, incarnation = made.incarnation, last = batch.back().token] {
             Machine& awake = at(name);
-            if (!awake.is_up || awake.life != life)
+            if (!awake.is_up || awake.incarnation != incarnation)
               return;
             ASSERT_TRUE(awake.log->sync());
             awake.control->synced(last, clock(awake));
@@ -646,8 +649,8 @@
   std::vector<HeldFrame> held_;
   int last_edit_ = 0;
   std::set<std::string> acknowledged_;
-  std::map<std::string, Integer> seen_;
-  std::map<Integer, std::string> versions_;
+  std::map<std::string, std::int64_t> seen_;
+  std::map<std::int64_t, std::string> versions_;
   std::string split_, story_;
 };
 
