--- a/packages/control-plane/tests/support/operators_day.hpp
+++ b/packages/control-plane/tests/support/operator_scenario.hpp
@@ -10,12 +10,12 @@
 
 #include "emberdale/control_call_recorder.hpp"
 #include "emberdale/linearizability.hpp"
-#include "emberdale/traffic_table.hpp"
+#include "emberdale/routing_table.hpp"
 #include "machine_fleet.hpp"
 
 namespace emberdale {
 
-struct OperatorsDayPlan {
+struct OperatorScenarioPlan {
   int machines = 3, operators = 3, readers = 2;
   double configuration_share = 0.6;  // of the changes; the others are zone orders
   double lost_share = 0.04;          // of the asks, and of the answers
@@ -24,14 +24,15 @@
 };
 
 // Example:
-//   OperatorsDay day(7, OperatorsDayPlan{}); day.run(); auto verdict = day.judge();
-class OperatorsDay {
+//   OperatorScenario day(7, OperatorScenarioPlan{}); day.run(); auto verdict = day.judge();
+class OperatorScenario {
  public:
-  OperatorsDay(std::uint64_t seed, OperatorsDayPlan plan) : plan_(plan), fleet_(seed), random_(seed * 131 + 7) {}
+  OperatorScenario(std::uint64_t seed, OperatorScenarioPlan plan)
+      : plan_(plan), fleet_(seed), random_(seed * 131 + 7) {}
 
   void run() {
-    fleet_.edit_times.asker_patience = Span{800};
-    fleet_.edit_times.leader_wait = Span{800};
+    fleet_.edit_times.requester_timeout = Duration{800};
+    fleet_.edit_times.leader_wait = Duration{800};
     names_ = bring_up(fleet_, plan_.machines);
     if (testing::Test::HasFailure())
       return;
@@ -64,12 +65,12 @@
 
   struct Operator {
     std::string name;
-    Integer base = 0;  // the newest revision it has heard of
+    std::int64_t base = 0;  // the newest revision it has heard of
   };
   // One change, sent to daemon after daemon until there is a clear answer.
   struct Wish {
     std::shared_ptr<Operator> who;
-    EditAsk ask;
+    EditRequest request;
     std::int64_t deadline = 0;
   };
   struct Attempt {
@@ -94,36 +95,36 @@
   void wish(const std::shared_ptr<Operator>& who) {
     Wish made{who, {}, 0};
     bool is_configuration = random_.chance(plan_.configuration_share);
-    made.ask = is_configuration ? configuration_change(who->base) : zone_order();
+    made.request = is_configuration ? configuration_change(who->base) : zone_order();
     made.deadline = fleet_.now() + (is_configuration ? change_patience_ms : order_patience_ms);
     attempt(made);
   }
 
-  EditAsk configuration_change(Integer base) {
+  EditRequest configuration_change(std::int64_t base) {
     std::string revision = std::to_string(base + 1 + random_.below(3));
     std::string route = R"({"name":"r1","host":"a.example","path_prefix":"/x)" + std::to_string(++last_text_) +
                         R"(/","kind":"retry_safe","horizon_ms":8000,"target_ms":900,"rank":1,"pool":"m"})";
-    EditAsk ask;
-    ask.kind = traffic_kind;
-    ask.name = traffic_name;
-    ask.expected = base;
-    ask.act = base > 0 && random_.chance(0.3) ? "amend" : "replace";
-    ask.body = ask.act == "amend"
-                   ? R"({"revision":)" + revision + R"(,"upsert":{"routes":[)" + route + "]}}"
-                   : R"({"revision":)" + revision + R"(,"routes":[)" + route + R"(],"pools":[{"name":"m"}]})";
-    return ask;
+    EditRequest edit_request;
+    edit_request.kind = routing_table_kind;
+    edit_request.name = routing_table_name;
+    edit_request.expected_version = base;
+    edit_request.action = base > 0 && random_.chance(0.3) ? "amend" : "replace";
+    edit_request.body = edit_request.action == "amend"
+                            ? R"({"revision":)" + revision + R"(,"upsert":{"routes":[)" + route + "]}}"
+                            : R"({"revision":)" + revision + R"(,"routes":[)" + route + R"(],"pools":[{"name":"m"}]})";
+    return edit_request;
   }
 
   // The note makes each order's text its own, so that a read tells which order is in force.
-  EditAsk zone_order() {
-    EditAsk ask;
-    ask.kind = orders_kind;
-    ask.name = random_.chance(0.5) ? "a" : "b";
-    ask.act = "put";
-    ask.expected = -1;
-    ask.body = std::string(R"({"state":")") + (random_.chance(0.5) ? "emptied" : "serving") + R"(","note":")" +
-               std::to_string(++last_text_) + R"("})";
-    return ask;
+  EditRequest zone_order() {
+    EditRequest edit_request;
+    edit_request.kind = orders_kind;
+    edit_request.name = random_.chance(0.5) ? "a" : "b";
+    edit_request.action = "put";
+    edit_request.expected_version = -1;
+    edit_request.body = std::string(R"({"state":")") + (random_.chance(0.5) ? "emptied" : "serving") + R"(","note":")" +
+                        std::to_string(++last_text_) + R"("})";
+    return edit_request;
   }
 
   void attempt(Wish wish) {
@@ -132,12 +133,13 @@
     const std::string where = any_machine();
     if (!fleet_.at(where).is_up)  // nobody listens there
       return try_again(wish);
-    wish.ask.change = "ask-" + std::to_string(++last_ask_);
+    wish.request.change_id = "ask-" + std::to_string(++last_request_id_);
     auto made = std::make_shared<Attempt>();
-    made->call = recorder_.asked(wish.who->name, where, wish.ask, fleet_.now());
+    made->call = recorder_.asked(wish.who->name, where, wish.request, fleet_.now());
     if (!random_.chance(plan_.lost_share))
-      fleet_.later(wire_ms(),
-                   [this, wish, made, where, life = fleet_.at(where).life] { hand_over(wish, made, where, life); });
+      fleet_.later(wire_ms(), [this, wish, made, where, incarnation = fleet_.at(where).incarnation] {
+        hand_over(wish, made, where, incarnation);
+      });
     fleet_.later(silence_ms, [this, wish, made] {
       if (made->is_over)
         return;
@@ -152,29 +154,30 @@
   }
 
   // A frozen process finds the request in its socket when it runs again, however long its caller has gone.
-  void hand_over(const Wish& wish, const std::shared_ptr<Attempt>& made, const std::string& where, int life) {
+  void hand_over(const Wish& wish, const std::shared_ptr<Attempt>& made, const std::string& where, int incarnation) {
     const Machine& target = fleet_.at(where);
-    if (!target.is_up || target.life != life)
+    if (!target.is_up || target.incarnation != incarnation)
       return;
     if (target.is_frozen)
-      return fleet_.later(wire_ms(), [this, wish, made, where, life] { hand_over(wish, made, where, life); });
-    auto answered = [this, wish, made](const EditAnswer& answer) {
+      return fleet_.later(wire_ms(),
+                          [this, wish, made, where, incarnation] { hand_over(wish, made, where, incarnation); });
+    auto answered = [this, wish, made](const EditResponse& response) {
       if (random_.chance(plan_.lost_share))
         return;
-      fleet_.later(wire_ms(), [this, wish, made, answer] { hear(wish, *made, answer); });
+      fleet_.later(wire_ms(), [this, wish, made, response] { hear(wish, *made, response); });
     };
-    fleet_.ask(where, [&](ControlDaemon& daemon, Moment now) { daemon.edit(wish.ask, answered, now); });
+    fleet_.ask(where, [&](ControlDaemon& daemon, TimePoint now) { daemon.edit(wish.request, answered, now); });
   }
 
-  void hear(const Wish& wish, Attempt& made, const EditAnswer& answer) {
+  void hear(const Wish& wish, Attempt& made, const EditResponse& response) {
     if (made.is_over)
       return;
     made.is_over = true;
-    recorder_.answered(made.call, answer, fleet_.now());
-    if (answer.code >= 500)
+    recorder_.answered(made.call, response, fleet_.now());
+    if (response.code >= 500)
       return try_again(wish);
-    if (wish.ask.kind == traffic_kind && answer.version > 0)
-      wish.who->base = answer.version;
+    if (wish.request.kind == routing_table_kind && response.version > 0)
+      wish.who->base = response.version;
     think(wish.who);
   }
 
@@ -196,7 +199,7 @@
       if (state != nullptr)
         recorder_.was_read(asked, fleet_.now(), *state);
     };
-    fleet_.ask(where, [&](ControlDaemon& daemon, Moment now) {
+    fleet_.ask(where, [&](ControlDaemon& daemon, TimePoint now) {
       if (plan_.are_reads_unconfirmed && daemon.proposer().has_state())
         return show(&daemon.proposer().state());
       daemon.read(show, now);
@@ -214,10 +217,10 @@
       case 1:
         for (const auto& other : names_)
           if (other != chosen)
-            fleet_.cut_link(chosen, other);
+            fleet_.cut_connection(chosen, other);
         break;
       case 2:
-        fleet_.cut_link(chosen, any_machine());
+        fleet_.cut_connection(chosen, any_machine());
         break;
       case 3:
         fleet_.freeze(chosen, true);
@@ -242,30 +245,30 @@
     fleet_.start(name, false);
   }
 
-  OperatorsDayPlan plan_;
+  OperatorScenarioPlan plan_;
   MachineFleet fleet_;
   RandomGenerator random_;
   history::ControlCallRecorder recorder_{history::ControlCallRecorder::ZoneOrderModel::expiring};
   std::vector<std::string> names_;
   std::int64_t end_ = 0;
-  int last_text_ = 0, last_ask_ = 0;
+  int last_text_ = 0, last_request_id_ = 0;
 };
 
 // More of them by hand: EMBERDALE_SEEDS=1000 control-history-test; each is a day
-inline const std::uint64_t day_seeds =
+inline const std::uint64_t scenario_seeds =
     std::getenv("EMBERDALE_SEEDS") == nullptr ? 40 : std::strtoull(std::getenv("EMBERDALE_SEEDS"), nullptr, 10);
 
-struct DayFigures {
+struct ScenarioFigures {
   std::size_t calls = 0, acknowledged = 0, unknown = 0;
   std::int64_t states = 0;
 };
 
 // Stops at the first day that can't be explained, with its smallest history.
-inline DayFigures expect_linearizable_days(OperatorsDayPlan plan) {
-  DayFigures figures;
-  for (std::uint64_t seed = 1; seed <= day_seeds; ++seed) {
+inline ScenarioFigures expect_linearizable_days(OperatorScenarioPlan plan) {
+  ScenarioFigures figures;
+  for (std::uint64_t seed = 1; seed <= scenario_seeds; ++seed) {
     plan.machines = seed % 3 == 0 ? 5 : seed % 3 == 1 ? 3 : 4;
-    OperatorsDay day(seed, plan);
+    OperatorScenario day(seed, plan);
     day.run();
     auto verdict = day.judge();
     figures.calls += day.calls().size();
@@ -278,8 +281,8 @@
   }
   std::printf("%zu calls, %zu changes acknowledged, %zu of unknown outcome, %ld states visited\n", figures.calls,
               figures.acknowledged, figures.unknown, static_cast<long>(figures.states));
-  EXPECT_GT(figures.acknowledged, day_seeds * 5);
-  EXPECT_GT(figures.unknown, day_seeds);
+  EXPECT_GT(figures.acknowledged, scenario_seeds * 5);
+  EXPECT_GT(figures.unknown, scenario_seeds);
   return figures;
 }
 
--- a/packages/control-plane/tests/zone_order_history_test.cpp
+++ b/packages/control-plane/tests/zone_order_history_test.cpp
@@ -2,12 +2,12 @@
 // answered, or after a later order was acknowledged.
 #include <gtest/gtest.h>
 
-#include "support/operators_day.hpp"
+#include "support/operator_scenario.hpp"
 
 using namespace emberdale;
 
 TEST(ZoneOrderHistory, OrdersAreLinearizableAndEndWithTheirCallers) {
-  OperatorsDayPlan plan;
+  OperatorScenarioPlan plan;
   plan.configuration_share = 0.2;
   expect_linearizable_days(plan);
 }
--- a/packages/data-plane/src/call_fields.cpp
+++ b/packages/data-plane/src/call_fields.cpp
@@ -25,8 +25,8 @@
 }
 
 template <std::size_t Count>
-std::array<Integer, Count> read_numbers(const std::string& text) {
-  std::array<Integer, Count> numbers{};
+std::array<std::int64_t, Count> read_numbers(const std::string& text) {
+  std::array<std::int64_t, Count> numbers{};
   std::size_t at = 0;
   each_part(text, [&](std::string_view part) {
     numbers[at++] = number_of(part).value_or(0);
@@ -34,17 +34,17 @@
   });
   return numbers;
 }
-template std::array<Integer, 2> read_numbers<2>(const std::string&);
-template std::array<Integer, 3> read_numbers<3>(const std::string&);
+template std::array<std::int64_t, 2> read_numbers<2>(const std::string&);
+template std::array<std::int64_t, 3> read_numbers<3>(const std::string&);
 
-std::optional<Span> read_deadline(const std::string& text) {
+std::optional<Duration> read_deadline(const std::string& text) {
   auto number = number_of(trimmed(text));
   if (!number || *number <= 0)
     return std::nullopt;
-  return Span{*number};
+  return Duration{*number};
 }
 
-std::string retry_after_text(Span span) {
+std::string retry_after_text(Duration span) {
   std::string fraction = std::to_string(1000 + span.value % 1000);
   return std::to_string(span.value / 1000) + "." + fraction.substr(1);
 }
--- a/packages/data-plane/src/call_relay.cpp
+++ b/packages/data-plane/src/call_relay.cpp
@@ -57,13 +57,13 @@
   } catch (const std::exception& fault) {
     return failure(std::string("can't listen for HTTP: ") + fault.what());
   }
-  traffic_ = std::thread([this] { run_traffic(); });
+  traffic_ = std::thread([this] { run_routed_requests(); });
   return true;
 }
 
-void CallRelay::stop(Span patience) {
+void CallRelay::stop(Duration patience) {
   is_stopping_ = true;
-  Moment end = steady_now() + patience;
+  TimePoint end = steady_now() + patience;
   while ((in_hand_ > 0 || being_read_ > 0) && steady_now() < end)
     std::this_thread::sleep_for(std::chrono::milliseconds(20));
   try {
@@ -126,7 +126,7 @@
   std::string deadline = header_of(headers, "X-Horizon-Ms");
   if (!deadline.empty() && number_or_zero(deadline) <= 0)
     return refuse(request, 400, "X-Horizon-Ms must be a number of milliseconds");
-  call.deadline = Span{number_or_zero(deadline)};
+  call.deadline = Duration{number_or_zero(deadline)};
   call.id.text = handle->id;
   call.body_bytes = static_cast<std::int64_t>(length);
   handle->request = request;
@@ -157,10 +157,10 @@
 
 // --- gate and match: the traffic thread -----------------------------------------------------------
 
-void CallRelay::run_traffic() {
-  std::shared_ptr<const TrafficView> seen;
-  Moment timer_next = steady_now();
-  auto refresh = [&](Moment now) {
+void CallRelay::run_routed_requests() {
+  std::shared_ptr<const RoutingView> seen;
+  TimePoint timer_next = steady_now();
+  auto refresh = [&](TimePoint now) {
     auto [view, grant] = snapshot_.get();
     dispatcher_.set_grant(grant);
     if (view == seen)
@@ -177,19 +177,19 @@
   };
   for (;;) {
     auto event = events_.take_within(std::chrono::milliseconds(10));
-    Moment now = steady_now();
+    TimePoint now = steady_now();
     refresh(now);
     if (event) {
       if (auto* arrived = std::get_if<Arrived>(&*event)) {
         CallIndex index = arrived->handle->index;
         handles_[index] = arrived->handle;
-        if (auto refusal = dispatcher_.arrive(arrived->call, now, index)) {
+        if (auto refusal = dispatcher_.admit(arrived->call, now, index)) {
           answer_final(*refusal, arrived->handle);
           handles_.erase(index);
         }
       } else if (auto* ended = std::get_if<Ended>(&*event)) {
         sent_.erase(ended->end.call);
-        dispatcher_.end_send(ended->end, now);
+        dispatcher_.on_attempt_finished(ended->end, now);
         if (ended->end.kind == SendEndKind::answered || ended->end.kind == SendEndKind::caller_gone) {
           handles_.erase(ended->end.call);
         }
@@ -204,7 +204,7 @@
       }
     }
     if (timer_next <= now) {
-      timer_next = now + Span{10};
+      timer_next = now + Duration{10};
       for (auto& [index, sent] : sent_)
         if (!sent.is_stopped && sent.deadline <= now) {
           sent.is_stopped = true;
@@ -224,7 +224,7 @@
   }
 }
 
-void CallRelay::act(Moment now) {
+void CallRelay::act(TimePoint now) {
   for (const auto& wish : dispatcher_.take_sends())
     send(wish, now);
   for (const auto& final_act : dispatcher_.take_finals()) {
@@ -270,7 +270,7 @@
   return client;
 }
 
-void CallRelay::send(const SendAct& act, Moment now) {
+void CallRelay::send(const SendAct& act, TimePoint now) {
   auto entry = handles_.find(act.call);
   if (entry == handles_.end())
     return;
@@ -310,7 +310,7 @@
             return end(act.call, SendEndKind::caller_gone, "caller left", nullptr);
           if (stop.get_token().is_canceled())
             return end(act.call, SendEndKind::lost, "no answer within the deadline", nullptr);
-          ++relay_counts_.links_broken;
+          ++relay_counts_.connections_broken;
           return end(act.call, is_unsent ? SendEndKind::unsent : SendEndKind::lost,
                      is_unsent ? "no link" : "link broke", nullptr);
         } catch (const std::exception&) {
@@ -328,7 +328,7 @@
         if (act.is_streaming && response.status_code() == 200 && type.rfind("text/event-stream", 0) == 0)
           take_stream(act, handle, response, stop);
         else
-          take_answer(act, handle, response, stop.get_token());
+          accept_response(act, handle, response, stop.get_token());
       });
 }
 
@@ -343,7 +343,7 @@
     done.incarnation = number_or_zero(header_of(headers, "X-Runner-Incarnation"));
     done.load = number_or_zero(header_of(headers, "X-Runner-Burden"));
     done.capacity = number_or_zero(header_of(headers, "X-Runner-Capacity"));
-    done.is_cold = header_of(headers, "X-Runner-Cold") == "true";
+    done.is_warming_up = header_of(headers, "X-Runner-Cold") == "true";
   }
   if (kind == SendEndKind::answered || kind == SendEndKind::caller_gone)
     --in_hand_;
@@ -353,8 +353,8 @@
 // --- relay -----------------------------------------------------------------------------------------
 
 // A short answer is complete and its seal is checked before the first byte goes to the caller.
-void CallRelay::take_answer(const SendAct& act, std::shared_ptr<CallHandle> handle, http_response response,
-                            pplx::cancellation_token stop) {
+void CallRelay::accept_response(const SendAct& act, std::shared_ptr<CallHandle> handle, http_response response,
+                                pplx::cancellation_token stop) {
   if (response.headers().content_length() > max_answer)
     return end(act.call, SendEndKind::lost, "the answer is too large", &response);
   response.extract_vector().then([this, act, handle, response, stop](pplx::task<std::vector<unsigned char>> reading) {
@@ -367,7 +367,7 @@
         return end(act.call, SendEndKind::caller_gone, "caller left", nullptr);
       if (stop.is_canceled())
         return end(act.call, SendEndKind::lost, "no whole answer within the deadline", nullptr);
-      ++relay_counts_.links_broken;
+      ++relay_counts_.connections_broken;
       return end(act.call, SendEndKind::lost, "link broke", nullptr);
     }
     const auto& headers = response.headers();
--- a/packages/data-plane/src/call_relay.hpp
+++ b/packages/data-plane/src/call_relay.hpp
@@ -21,20 +21,20 @@
 class ControlSnapshot {
  public:
   // Example: word.put(daemon.view(), daemon.grant());
-  void put(std::shared_ptr<const TrafficView> view, const Grant& grant) {
+  void put(std::shared_ptr<const RoutingView> view, const Grant& grant) {
     std::lock_guard<std::mutex> guard(mutex_);
     view_ = std::move(view);
     grant_ = grant;
   }
   // Example: auto [view, grant] = word.get();
-  std::pair<std::shared_ptr<const TrafficView>, Grant> get() const {
+  std::pair<std::shared_ptr<const RoutingView>, Grant> get() const {
     std::lock_guard<std::mutex> guard(mutex_);
     return {view_, grant_};
   }
 
  private:
   mutable std::mutex mutex_;
-  std::shared_ptr<const TrafficView> view_ = std::make_shared<TrafficView>();
+  std::shared_ptr<const RoutingView> view_ = std::make_shared<RoutingView>();
   Grant grant_;
 };
 
@@ -61,12 +61,12 @@
   CallRelay(DispatcherSettings settings, const ControlSnapshot& snapshot, const std::string& http);
   ~CallRelay();
   Outcome<bool> open();
-  // Finishes or definitely refuses what is in hand. Example: relay.stop(Span{5000});
-  void stop(Span patience);
+  // Finishes or definitely refuses what is in hand. Example: relay.stop(Duration{5000});
+  void stop(Duration patience);
   std::function<void(web::http::http_request)> on_own_path;  // /emberdale/... requests
   CallDispatcher::Counts counts() const;
   struct RelayCounts {
-    std::atomic<std::int64_t> bad_seals{0}, streams_broken{0}, links_broken{0}, callers_gone{0}, pieces{0},
+    std::atomic<std::int64_t> bad_seals{0}, streams_broken{0}, connections_broken{0}, callers_gone{0}, pieces{0},
         deadlines_passed{0}, accept_refused{0};
   };
   const RelayCounts& relay_counts() const { return relay_counts_; }
@@ -86,22 +86,22 @@
   struct Piece {
     CallIndex index;
   };
-  using TrafficEvent = std::variant<Arrived, Ended, Gone, Piece>;
+  using RoutedEvent = std::variant<Arrived, Ended, Gone, Piece>;
   struct Sent {
     std::shared_ptr<CallHandle> handle;
     pplx::cancellation_token_source stop;
-    Moment deadline;
+    TimePoint deadline;
     bool is_stopped = false;
   };
   struct Relay;  // one streamed reply on its way
 
   void handle(web::http::http_request request);
-  void run_traffic();
-  void act(Moment now);
-  void send(const SendAct& act, Moment now);
+  void run_routed_requests();
+  void act(TimePoint now);
+  void send(const SendAct& act, TimePoint now);
   void end(CallIndex index, SendEndKind kind, const std::string& reason, const web::http::http_response* response);
-  void take_answer(const SendAct& act, std::shared_ptr<CallHandle> handle, web::http::http_response response,
-                   pplx::cancellation_token stop);
+  void accept_response(const SendAct& act, std::shared_ptr<CallHandle> handle, web::http::http_response response,
+                       pplx::cancellation_token stop);
   void take_stream(const SendAct& act, std::shared_ptr<CallHandle> handle, web::http::http_response response,
                    pplx::cancellation_token_source stop);
   void relay_next(std::shared_ptr<Relay> relay);
@@ -112,7 +112,7 @@
   const ControlSnapshot& snapshot_;
   web::http::experimental::listener::http_listener listener_;
   CallDispatcher dispatcher_;
-  BoundedQueue<TrafficEvent> events_{4096};
+  BoundedQueue<RoutedEvent> events_{4096};
   std::thread traffic_;
   std::map<CallIndex, std::shared_ptr<CallHandle>> handles_;  // of the traffic thread
   std::map<CallIndex, Sent> sent_;                            // of the traffic thread
--- a/packages/data-plane/src/data_process.cpp
+++ b/packages/data-plane/src/data_process.cpp
@@ -6,24 +6,25 @@
 
 namespace emberdale {
 
-DataProcess::DataProcess(DaemonEntry self, std::vector<Address> seeds, Span timer_interval)
+DataProcess::DataProcess(DaemonEntry self, std::vector<Address> seeds, Duration timer_interval)
     : self_(self),
       timer_interval_(timer_interval),
       daemon_(self, std::move(seeds), static_cast<std::uint64_t>(self.incarnation)) {
   daemon_.journal().on_event = [](const JournalEvent& event) {
     LOG(INFO) << event.kind << ": " << event.detail;
   };
-  links_ = std::make_unique<PeerConnections>(context_, self_.address, [this](const Address& from, Message message) {
-    daemon_.on_message(from, message, steady_now());
-    flush();
-  });
-  links_->on_refused = [this](const Address& peer) {
+  connections_ =
+      std::make_unique<PeerConnections>(context_, self_.address, [this](const Address& from, Message message) {
+        daemon_.on_message(from, message, steady_now());
+        flush();
+      });
+  connections_->on_refused = [this](const Address& peer) {
     daemon_.on_refused(peer, steady_now());
     flush();
   };
 }
 
-Outcome<bool> DataProcess::open() { return links_->listen(); }
+Outcome<bool> DataProcess::open() { return connections_->listen(); }
 
 void DataProcess::start() {
   control_ = std::thread([this] {
@@ -52,8 +53,8 @@
   seen_ = daemon_.view();
   if (is_new && on_change)
     on_change();
-  for (auto& sending : daemon_.take_out())
-    links_->send(sending.to, sending.message);
+  for (auto& message : daemon_.drain_outbound())
+    connections_->send(message.to, message.message);
 }
 
 void DataProcess::tick() {
--- a/packages/data-plane/src/data_process.hpp
+++ b/packages/data-plane/src/data_process.hpp
@@ -12,11 +12,11 @@
 namespace emberdale {
 
 // Example:
-//   DataProcess process(settings.self, settings.seeds, Span{25}); auto listens = process.open();
+//   DataProcess process(settings.self, settings.seeds, Duration{25}); auto listens = process.open();
 //   CallRelay relay(dispatcher, process.word(), http); process.start(); ... process.stop();
 class DataProcess {
  public:
-  DataProcess(DaemonEntry self, std::vector<Address> seeds, Span timer_interval);
+  DataProcess(DaemonEntry self, std::vector<Address> seeds, Duration timer_interval);
   // Example: auto listens = process.open(); if (!listens) LOG(ERROR) << listens.reason;
   Outcome<bool> open();
   void start();
@@ -28,7 +28,7 @@
   // The view and the grant for the traffic thread; on_change is called (on the control thread) when they differ.
   const ControlSnapshot& snapshot() const { return snapshot_; }
   std::function<void()> on_change;
-  PeerConnections& links() { return *links_; }
+  PeerConnections& connections() { return *connections_; }
   boost::asio::io_context& context() { return context_; }
 
  private:
@@ -36,13 +36,13 @@
   void tick();
 
   DaemonEntry self_;
-  Span timer_interval_;
+  Duration timer_interval_;
   boost::asio::io_context context_{1};
   boost::asio::steady_timer timer_{context_};
   ControlSnapshot snapshot_;
-  std::shared_ptr<const TrafficView> seen_;
+  std::shared_ptr<const RoutingView> seen_;
   DataDaemon daemon_;
-  std::unique_ptr<PeerConnections> links_;
+  std::unique_ptr<PeerConnections> connections_;
   std::thread control_;
 };
 
--- a/packages/data-plane/src/http_fields.cpp
+++ b/packages/data-plane/src/http_fields.cpp
@@ -53,7 +53,7 @@
   return number;
 }
 
-bool is_of_link(const std::string& name, const std::string& connection_header) {
+bool is_of_connection(const std::string& name, const std::string& connection_header) {
   static const std::array<const char*, 8> names{"Connection", "Keep-Alive", "Transfer-Encoding", "TE",
                                                 "Trailer",    "Upgrade",    "Content-Length",    "Expect"};
   for (const char* known : names)
--- a/packages/data-plane/src/http_fields.hpp
+++ b/packages/data-plane/src/http_fields.hpp
@@ -34,8 +34,8 @@
 }
 
 // Is it a header of one link, not of the call? What the Connection header names is one as well.
-// Example: is_of_link("X-Hop", "close, X-Hop")
-bool is_of_link(const std::string& name, const std::string& connection_header);
+// Example: is_of_connection("X-Hop", "close, X-Hop")
+bool is_of_connection(const std::string& name, const std::string& connection_header);
 // Two readers that see the end of a body at different places could find a second request in it.
 bool has_clear_length(const web::http::http_headers& headers);
 
--- a/packages/data-plane/src/main.cpp
+++ b/packages/data-plane/src/main.cpp
@@ -43,7 +43,7 @@
   start_program("emberdale-data-plane");
   crossplat::threadpool::initialize_with_threads(5);
 
-  DataProcess process(settings.self, settings.seeds, Span{25});
+  DataProcess process(settings.self, settings.seeds, Duration{25});
   auto& context = process.context();
   const ControlSnapshot& snapshot = process.snapshot();
   auto listens = process.open();
@@ -54,7 +54,7 @@
   DispatcherSettings dispatcher;
   dispatcher.self = settings.self.address;
   dispatcher.region = settings.self.region;
-  CallRelay relay(dispatcher, snapshot, settings.self.http);
+  CallRelay relay(dispatcher, snapshot, settings.self.http_address);
   relay.on_own_path = [&](web::http::http_request request) {
     auto path = request.relative_uri().path();
     auto reply = [](web::http::http_request& to, int code, const std::string& body, const char* kind) {
@@ -93,11 +93,11 @@
                                                     {"spilled", c.spilled},
                                                     {"misdirected", c.misdirected},
                                                     {"pended", c.pended},
-                                                    {"cold_sends", c.cold_sends},
+                                                    {"cold_sends", c.warmup_sends},
                                                     {"grant_awaited", c.grant_awaited},
                                                     {"bad_seals", r.bad_seals},
                                                     {"streams_broken", r.streams_broken},
-                                                    {"links_broken", r.links_broken},
+                                                    {"links_broken", r.connections_broken},
                                                     {"callers_gone", r.callers_gone},
                                                     {"stream_pieces", r.pieces},
                                                     {"horizons_passed", r.deadlines_passed},
@@ -106,21 +106,22 @@
                    "text/plain; version=0.0.4");
     }
     if (path == "/emberdale/faults" && request.method() == web::http::methods::POST) {
-      if (!settings.may_fault_links)
+      if (!settings.may_fault_connections)
         return reply(request, 403, R"({"reason":"started without --allow-link-faults"})", "application/json");
       request.extract_string(true).then([&, request, reply](utility::string_t body) mutable {
         Json wish = Json::parse(body, nullptr, false);
         if (!wish.is_object())
           return reply(request, 400, R"({"reason":"not a JSON object"})", "application/json");
         try {
-          LinkFault fault{wish.value("cut_out", false), wish.value("cut_in", false), Span{wish.value("delay_ms", 0)}};
+          ConnectionFault fault{wish.value("cut_out", false), wish.value("cut_in", false),
+                                Duration{wish.value("delay_ms", 0)}};
           auto peers = wish.value("siblings", std::vector<std::string>{});
           bool is_clear = wish.value("clear", false);
           boost::asio::post(context, [&process, peers, fault, is_clear] {
             if (is_clear)
-              process.links().clear_faults();
+              process.connections().clear_faults();
             for (const auto& peer : peers)
-              process.links().set_fault({peer}, fault);
+              process.connections().set_fault({peer}, fault);
           });
         } catch (const Json::exception&) {
           return reply(request, 400, R"({"reason":"a field of the body is of the wrong kind"})", "application/json");
@@ -138,10 +139,10 @@
   }
   process.start();
   LOG(INFO) << "serving in zone " << settings.self.zone << ", region " << settings.self.region << ", callers at "
-            << settings.self.http;
+            << settings.self.http_address;
   int signal = wait_for_stop();
   LOG(INFO) << "stopping on signal " << signal << ": what is in hand is finished or refused";
-  relay.stop(Span{8000});
+  relay.stop(Duration{8000});
   process.stop();
   return 0;
 }
--- a/packages/data-plane/src/routed_relay.cpp
+++ b/packages/data-plane/src/routed_relay.cpp
@@ -11,12 +11,12 @@
 namespace emberdale {
 
 namespace {
-constexpr Span last_answers_patience{300};    // for what was broken off to be written
-constexpr Span closed_links_patience{10000};  // for what was in hand on links that are closed now
-constexpr int max_events_at_once = 64;        // before the dispatcher's timer is looked at again
+constexpr Duration last_answers_patience{300};         // for what was broken off to be written
+constexpr Duration closed_connections_timeout{10000};  // for what was in hand on links that are closed now
+constexpr int max_events_at_once = 64;                 // before the dispatcher's timer is looked at again
 }  // namespace
 
-RoutedRelay::RoutedRelay(RouteDispatcherSettings settings, RelayWords words, const ControlSnapshot& snapshot,
+RoutedRelay::RoutedRelay(RouteDispatcherSettings settings, RelayHeaderNames words, const ControlSnapshot& snapshot,
                          const std::string& http)
     : settings_(settings),
       words_(std::move(words)),
@@ -27,7 +27,7 @@
 }
 
 RoutedRelay::~RoutedRelay() {
-  stop(Span{0});
+  stop(Duration{0});
   close_listener();
 }
 
@@ -38,7 +38,7 @@
     return failure(std::string("can't listen for HTTP: ") + fault.what());
   }
   is_open_ = is_listening_ = true;
-  traffic_ = std::thread([this] { run_traffic(); });
+  traffic_ = std::thread([this] { run_routed_requests(); });
   return true;
 }
 
@@ -49,7 +49,7 @@
 
 // The listener stays: where it is gone, the library says 404 on links that are still open, and callers would not try
 // again. Until the relay itself goes, what still comes is refused with 503.
-void RoutedRelay::stop(Span patience) {
+void RoutedRelay::stop(Duration patience) {
   begin_stopping();
   if (!is_open_.exchange(false))
     return;
@@ -61,7 +61,7 @@
   wait_none_in_hand(last_answers_patience);
 }
 
-bool RoutedRelay::wait_none_in_hand(Span patience) {
+bool RoutedRelay::wait_none_in_hand(Duration patience) {
   std::unique_lock<std::mutex> guard(in_hand_->mutex);
   return in_hand_->changed.wait_for(guard, std::chrono::milliseconds(patience.value),
                                     [&] { return in_hand_->calls == 0; });
@@ -74,7 +74,7 @@
     listener_.close().wait();
   } catch (const std::exception&) {
   }
-  if (!wait_none_in_hand(closed_links_patience))
+  if (!wait_none_in_hand(closed_connections_timeout))
     LOG(ERROR) << "calls are still in hand after the end";
 }
 
@@ -88,11 +88,11 @@
   return in_hand_->calls;
 }
 
-void RoutedRelay::run_traffic() {
-  Moment now = steady_now();
-  Moment timer_at = now;
+void RoutedRelay::run_routed_requests() {
+  TimePoint now = steady_now();
+  TimePoint timer_at = now;
   while (!is_closing_) {
-    Span wait = std::min(Span{500}, std::max(Span{0}, timer_at - now));
+    Duration wait = std::min(Duration{500}, std::max(Duration{0}, timer_at - now));
     auto event = events_.take_within(std::chrono::milliseconds(wait.value));
     now = steady_now();
     is_woken_ = false;  // before the word is read: a later change wakes again
@@ -105,10 +105,10 @@
       on_event(*event, now);
     if (timer_at <= now) {
       dispatcher_.on_timer(now);
-      timer_at = std::max(dispatcher_.timer_next(now), now + Span{1});
+      timer_at = std::max(dispatcher_.timer_next(now), now + Duration{1});
     }
     act(now);
-    timer_at = std::min(timer_at, std::max(dispatcher_.timer_next(now), now + Span{1}));
+    timer_at = std::min(timer_at, std::max(dispatcher_.timer_next(now), now + Duration{1}));
     std::lock_guard<std::mutex> guard(counts_mutex_);
     counts_ = dispatcher_.counts();
   }
@@ -117,15 +117,15 @@
   break_off("this daemon stops");
 }
 
-void RoutedRelay::take_snapshot(Moment now) {
+void RoutedRelay::take_snapshot(TimePoint now) {
   auto [view, grant] = snapshot_.get();
-  dispatcher_.set_cold_until(grant.cold_until);
+  dispatcher_.set_warming_up_until(grant.warming_up_until);
   if (view == view_)
     return;
   view_ = view;
   max_header_bytes_ = view->limits.max_header_bytes;
   max_body_bytes_ = view->limits.max_body_bytes;
-  drop_links(*view);
+  drop_connections(*view);
   dispatcher_.see(view, now);
 }
 
@@ -137,7 +137,7 @@
              arrived->handle);
 }
 
-void RoutedRelay::on_event(TrafficEvent& event, Moment now) {
+void RoutedRelay::on_event(RoutedEvent& event, TimePoint now) {
   if (auto* arrived = std::get_if<Arrived>(&event))
     on_arrived(*arrived, now);
   else if (auto* ended = std::get_if<RoutedEnd>(&event))
@@ -150,16 +150,16 @@
     on_gone(*gone, now);
 }
 
-void RoutedRelay::on_arrived(Arrived& arrived, Moment now) {
+void RoutedRelay::on_arrived(Arrived& arrived, TimePoint now) {
   CallIndex index = arrived.handle->index;
   calls_[index].handle = arrived.handle;
-  if (auto refusal = dispatcher_.arrive(arrived.call, now, index)) {
+  if (auto refusal = dispatcher_.admit(arrived.call, now, index)) {
     answer_final(*refusal, arrived.handle);
     calls_.erase(index);
   }
 }
 
-void RoutedRelay::on_end(const RoutedEnd& ended, Moment now) {
+void RoutedRelay::on_end(const RoutedEnd& ended, TimePoint now) {
   auto entry = calls_.find(ended.call);
   if (entry == calls_.end() || !entry->second.send || entry->second.send->act.turn != ended.turn)
     return;  // of a send given up
@@ -169,10 +169,10 @@
   bool is_over = ended.kind == RoutedEndKind::answered || ended.kind == RoutedEndKind::caller_gone;
   if (is_over)
     calls_.erase(entry);
-  dispatcher_.end_send(ended, now);
+  dispatcher_.on_attempt_finished(ended, now);
 }
 
-void RoutedRelay::on_gone(const Gone& gone, Moment now) {
+void RoutedRelay::on_gone(const Gone& gone, TimePoint now) {
   auto entry = calls_.find(gone.index);
   if (entry == calls_.end())
     return;
@@ -194,7 +194,7 @@
   entry.send.reset();
 }
 
-void RoutedRelay::act(Moment now) {
+void RoutedRelay::act(TimePoint now) {
   for (const auto& stopped : dispatcher_.take_stops()) {
     auto entry = calls_.find(stopped.call);
     if (entry == calls_.end() || !entry->second.send || entry->second.send->act.turn != stopped.turn)
@@ -225,11 +225,11 @@
     FinalAct act{entry.handle->index, 503, reason, may_have_run, stopped_retry_after, {}};
     if (may_have_run) {  // 503 would be a promise
       act.code = 502;
-      act.retry_after = Span{0};
+      act.retry_after = Duration{0};
     }
     answer_final(act, entry.handle);
   }
-  links_.clear();
+  connections_.clear();
 }
 
 }  // namespace emberdale
--- a/packages/data-plane/src/routed_relay.hpp
+++ b/packages/data-plane/src/routed_relay.hpp
@@ -27,14 +27,14 @@
 
 // The names of headers; a layer that translates fills them in. An empty name: that header is not used.
 // Example: words.call_id = "X-Call"; words.seal = "X-Seal";
-struct RelayWords {
+struct RelayHeaderNames {
   std::string call_id;                       // of a call and of its answer
   std::string deadline;                      // ms left, to this daemon and from it to a runner
   std::string prompt;                        // HEXID:TOKENS,HEXID:TOKENS,..
   std::string tokens;                        // IN,OUT
-  std::string life_expected;                 // to a runner: only this one runs the call, every other answers 421
+  std::string expected_incarnation;          // to a runner: only this one runs the call, every other answers 421
   std::string rank;                          // to a runner
-  std::string life;                          // of an answer: who ran it
+  std::string incarnation;                   // of an answer: who ran it
   std::string seal;                          // of an answer: without it none counts as given
   std::string load;                          // of an answer: running,waiting,slots
   std::string not_run, not_run_value = "1";  // of an answer: it surely did not run
@@ -50,10 +50,10 @@
 
 // The stages accept -> gate -> match -> send -> relay of routed calls, joined by bounded queues.
 // Example: RoutedRelay relay(dispatcher_settings, words, word, "127.0.0.1:80"); relay.open(); ...
-// relay.stop(Span{5000});
+// relay.stop(Duration{5000});
 class RoutedRelay {
  public:
-  RoutedRelay(RouteDispatcherSettings settings, RelayWords words, const ControlSnapshot& snapshot,
+  RoutedRelay(RouteDispatcherSettings settings, RelayHeaderNames words, const ControlSnapshot& snapshot,
               const std::string& http);
   ~RoutedRelay();
   Outcome<bool> open();
@@ -63,12 +63,12 @@
   void begin_stopping() { is_stopping_ = true; }
   bool ready() const { return is_open_ && !is_stopping_; }
   // Finishes what is in hand, or breaks it off when patience is over; what comes later is refused.
-  // Example: relay.stop(Span{5000})
-  void stop(Span patience);
+  // Example: relay.stop(Duration{5000})
+  void stop(Duration patience);
   RouteDispatcher::Counts counts() const;
   struct RelayCounts {
-    std::atomic<std::int64_t> unsealed{0}, foreign_answers{0}, streams_broken{0}, links_broken{0}, callers_gone{0},
-        pieces{0}, pieces_dropped{0}, stops{0}, accept_refused{0}, own_answers_kept{0};
+    std::atomic<std::int64_t> unsealed{0}, foreign_answers{0}, streams_broken{0}, connections_broken{0},
+        callers_gone{0}, pieces{0}, pieces_dropped{0}, stops{0}, accept_refused{0}, own_answers_kept{0};
   };
   const RelayCounts& relay_counts() const { return relay_counts_; }
   std::size_t in_hand() const;
@@ -78,12 +78,12 @@
   struct Refusal {
     int code = 503;
     std::string reason;
-    Span retry_after{0};
-    bool is_link_closed = false;
+    Duration retry_after{0};
+    bool is_connection_closed = false;
   };
-  struct Handle;      // one call in hand
-  struct Send;        // one send of it
-  struct RunnerLink;  // a client of one runner
+  struct Handle;            // one call in hand
+  struct Send;              // one send of it
+  struct RunnerConnection;  // a client of one runner
   struct Entry {
     std::shared_ptr<Handle> handle;
     std::shared_ptr<Send> send;  // the current one
@@ -105,7 +105,7 @@
     CallIndex index;
   };
   struct Woken {};
-  using TrafficEvent = std::variant<Arrived, RoutedEnd, Begun, Piece, Gone, Woken>;
+  using RoutedEvent = std::variant<Arrived, RoutedEnd, Begun, Piece, Gone, Woken>;
   using Bytes = std::shared_ptr<std::vector<std::uint8_t>>;
 
   // Admission: routed_relay_admission.cpp
@@ -120,25 +120,25 @@
   bool grow(const std::shared_ptr<Handle>& handle, const std::string& bytes);
 
   // The traffic thread: routed_relay.cpp
-  void run_traffic();
-  bool wait_none_in_hand(Span patience);
+  void run_routed_requests();
+  bool wait_none_in_hand(Duration patience);
   void close_listener();
-  void take_snapshot(Moment now);
-  void on_event(TrafficEvent& event, Moment now);
-  void act(Moment now);
-  void on_arrived(Arrived& arrived, Moment now);
-  void on_end(const RoutedEnd& ended, Moment now);
-  void on_gone(const Gone& gone, Moment now);
+  void take_snapshot(TimePoint now);
+  void on_event(RoutedEvent& event, TimePoint now);
+  void act(TimePoint now);
+  void on_arrived(Arrived& arrived, TimePoint now);
+  void on_end(const RoutedEnd& ended, TimePoint now);
+  void on_gone(const Gone& gone, TimePoint now);
   void give_up(Entry& entry);
   void refuse_arrived();
   void break_off(const std::string& reason);
 
   // Sending: routed_relay_sending.cpp
-  void send(const RoutedSend& act, Moment now);
-  web::http::http_request request_to_runner(const Send& send, const std::string& resume_after, Moment now) const;
+  void send(const RoutedSend& act, TimePoint now);
+  web::http::http_request request_to_runner(const Send& send, const std::string& resume_after, TimePoint now) const;
   void begin(const std::shared_ptr<Send>& send, const web::http::http_request& request);
-  std::shared_ptr<RunnerLink> link_to(const RoutedSend& act);
-  void drop_links(const TrafficView& view);
+  std::shared_ptr<RunnerConnection> connection_to(const RoutedSend& act);
+  void drop_connections(const RoutingView& view);
   RoutedEnd end_of(const Send& send, RoutedEndKind kind, const std::string& reason) const;
   void end(const std::shared_ptr<Send>& send, RoutedEndKind kind, const std::string& reason);
   void take_fault(const std::shared_ptr<Send>& send, const std::exception& fault);
@@ -148,7 +148,7 @@
   std::optional<std::string> fault_of(const std::shared_ptr<Send>& send);
   void take_refusal(const std::shared_ptr<Send>& send);
   void discard(const std::shared_ptr<Send>& send, RoutedEndKind kind, const std::string& reason);
-  void take_answer(const std::shared_ptr<Send>& send);
+  void accept_response(const std::shared_ptr<Send>& send);
   void hand_on(const std::shared_ptr<Send>& send, const Bytes& body);
 
   // Streams: routed_relay_streams.cpp
@@ -169,20 +169,20 @@
   void copy_answer_headers(const web::http::http_headers& from, web::http::http_headers& to) const;
 
   RouteDispatcherSettings settings_;
-  RelayWords words_;
+  RelayHeaderNames words_;
   const ControlSnapshot& snapshot_;
   web::http::experimental::listener::http_listener listener_;
   RouteDispatcher dispatcher_;  // of the traffic thread, with the next three
   std::map<CallIndex, Entry> calls_;
-  std::map<std::pair<std::string, RunnerName>, std::shared_ptr<RunnerLink>> links_;
-  std::shared_ptr<const TrafficView> view_;
-  BoundedQueue<TrafficEvent> events_{4096};
+  std::map<std::pair<std::string, RunnerName>, std::shared_ptr<RunnerConnection>> connections_;
+  std::shared_ptr<const RoutingView> view_;
+  BoundedQueue<RoutedEvent> events_{4096};
   std::thread traffic_;
   std::shared_ptr<InHand> in_hand_ = std::make_shared<InHand>();
   std::atomic<CallIndex> last_index_{0};
   std::atomic<bool> is_open_{false}, is_listening_{false}, is_stopping_{false}, is_closing_{false}, is_woken_{false};
-  std::atomic<std::int64_t> max_header_bytes_{TrafficLimits{}.max_header_bytes},
-      max_body_bytes_{TrafficLimits{}.max_body_bytes};
+  std::atomic<std::int64_t> max_header_bytes_{RequestLimits{}.max_header_bytes},
+      max_body_bytes_{RequestLimits{}.max_body_bytes};
   RelayCounts relay_counts_;
   mutable std::mutex counts_mutex_;
   RouteDispatcher::Counts counts_;
--- a/packages/data-plane/src/routed_relay_admission.cpp
+++ b/packages/data-plane/src/routed_relay_admission.cpp
@@ -75,9 +75,9 @@
   handle->target = request.request_uri();
   std::string named = header_of(request.headers(), "Connection");
   for (const auto& [name, value] : request.headers())
-    if (!is_of_link(name, named))
+    if (!is_of_connection(name, named))
       handle->headers.add(name, value);
-  for (const auto* name : {&words_.life_expected, &words_.rank, &words_.deadline})
+  for (const auto* name : {&words_.expected_incarnation, &words_.rank, &words_.deadline})
     if (!name->empty())
       handle->headers.remove(*name);
   handle->request = request;
@@ -90,7 +90,7 @@
   call.id.text = header_of(headers, words_.call_id);
   call.host = header_of(headers, "Host");
   call.path = request.request_uri().path();
-  call.deadline = read_deadline(header_of(headers, words_.deadline)).value_or(Span{0});
+  call.deadline = read_deadline(header_of(headers, words_.deadline)).value_or(Duration{0});
   call.prompt = read_prompt(header_of(headers, words_.prompt));
   auto [tokens_in, tokens_out] = read_numbers<2>(header_of(headers, words_.tokens));
   call.tokens_in = tokens_in;
--- a/packages/data-plane/src/routed_relay_answers.cpp
+++ b/packages/data-plane/src/routed_relay_answers.cpp
@@ -42,7 +42,7 @@
   std::string id = header_of(headers, words_.call_id);
   if (!id.empty() && id != send->handle->id) {
     ++relay_counts_.foreign_answers;
-    send->link->is_spoilt = true;
+    send->connection->is_spoilt = true;
     return discard(send, RoutedEndKind::lost, "the answer is of another call");
   }
   if (status == 421 || has_header(headers, words_.not_run))
@@ -59,14 +59,15 @@
   }
   if (is_stream_open)
     return discard(send, RoutedEndKind::broken, "the next runner gave no stream");
-  take_answer(send);
+  accept_response(send);
 }
 
 // The runner says that it did not run the call.
 void RoutedRelay::take_refusal(const std::shared_ptr<Send>& send) {
   const auto& headers = send->response.headers();
   int status = send->response.status_code();
-  end(send, status == 421 ? RoutedEndKind::wrong_life : RoutedEndKind::refused, "status " + std::to_string(status));
+  end(send, status == 421 ? RoutedEndKind::wrong_incarnation : RoutedEndKind::refused,
+      "status " + std::to_string(status));
   if (!headers.has("Content-Length") || headers.content_length() > max_refusal_body)
     return send->stop.cancel();
   read_off(send->response);
@@ -78,20 +79,20 @@
   int status = send->response.status_code();
   auto foreign = [&](const char* reason) {
     ++relay_counts_.foreign_answers;
-    send->link->is_spoilt = true;
+    send->connection->is_spoilt = true;
     return reason;
   };
   if (!is_final_status(status))
     return "no status of an answer";
   if (promises_not_run(status))
     return "status " + std::to_string(status) + " without a word that it did not run";
-  std::string life = header_of(headers, words_.life);
-  if (!life.empty() && life != send->act.runner.text)
+  std::string incarnation = header_of(headers, words_.incarnation);
+  if (!incarnation.empty() && incarnation != send->act.runner.text)
     return foreign("the answer is of another runner");
   // Runners repeat the call's id. An answer without it may be one too many to an earlier call on this link;
   // a failure on a link of the call's own can't be.
-  bool is_link_shared = send->act.is_repeatable;
-  if (header_of(headers, words_.call_id).empty() && (is_success(status) || is_link_shared))
+  bool is_connection_shared = send->act.is_repeatable;
+  if (header_of(headers, words_.call_id).empty() && (is_success(status) || is_connection_shared))
     return foreign("the answer does not name its call");
   if (is_success(status) && !words_.seal.empty() && !headers.has(words_.seal)) {
     ++relay_counts_.unsealed;
@@ -103,7 +104,7 @@
 }
 
 // An answer is whole before its first byte goes to the caller.
-void RoutedRelay::take_answer(const std::shared_ptr<Send>& send) {
+void RoutedRelay::accept_response(const std::shared_ptr<Send>& send) {
   const auto& headers = send->response.headers();
   int status = send->response.status_code();
   bool is_framed = tells_its_end(headers);
@@ -129,7 +130,7 @@
     }
     if (is_whole)
       return hand_on(send, body);
-    ++relay_counts_.links_broken;
+    ++relay_counts_.connections_broken;
     end(send, RoutedEndKind::lost, "the answer was cut off");
   });
 }
--- a/packages/data-plane/src/routed_relay_replies.cpp
+++ b/packages/data-plane/src/routed_relay_replies.cpp
@@ -42,7 +42,7 @@
     response.headers().add(words_.call_id, call_id);
   if (refusal.retry_after.value > 0)
     response.headers().add("Retry-After", retry_after_text(refusal.retry_after));
-  if (refusal.is_link_closed)
+  if (refusal.is_connection_closed)
     response.headers().add("Connection", "close");
   response.set_body(json_text(Json{{"reason", refusal.reason}}), "application/json");
   reply(request, response, [held = std::move(held)](bool) {});
@@ -52,7 +52,7 @@
 void RoutedRelay::refuse_unread(const http_request& request, Refusal refusal) {
   const auto& headers = request.headers();
   bool has_body = headers.has("Transfer-Encoding") || !has_clear_length(headers) || headers.content_length() > 0;
-  refusal.is_link_closed = has_body;
+  refusal.is_connection_closed = has_body;
   refuse(request, header_of(headers, words_.call_id), refusal);
   if (has_body)
     read_no_further(request);
@@ -92,7 +92,7 @@
 void RoutedRelay::copy_answer_headers(const http_headers& from, http_headers& to) const {
   std::string named = header_of(from, "Connection");
   for (const auto& [name, value] : from)
-    if (!is_of_link(name, named))
+    if (!is_of_connection(name, named))
       to.add(name, value);
 }
 
--- a/packages/data-plane/src/routed_relay_sending.cpp
+++ b/packages/data-plane/src/routed_relay_sending.cpp
@@ -14,8 +14,8 @@
 
 namespace {
 
-constexpr int silent_link_ms = 3000;
-constexpr Span refused_link_bound{1000};              // a refusal by a living machine comes sooner than that
+constexpr int silent_connection_ms = 3000;
+constexpr Duration refused_connection_bound{1000};    // a refusal by a living machine comes sooner than that
 constexpr std::chrono::seconds library_timeout{600};  // the deadline is kept by the dispatcher
 
 bool never_left(const std::string& fault) {
@@ -29,7 +29,7 @@
     socket.open(boost::asio::ip::tcp::v4(), fault);
   if (!socket.is_open())
     return;
-  int on = 1, silent_ms = silent_link_ms;
+  int on = 1, silent_ms = silent_connection_ms;
   setsockopt(socket.native_handle(), IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
   setsockopt(socket.native_handle(), IPPROTO_TCP, TCP_USER_TIMEOUT, &silent_ms, sizeof silent_ms);
 }
@@ -58,26 +58,26 @@
 
 }  // namespace
 
-void RoutedRelay::drop_links(const TrafficView& view) {
-  for (auto entry = links_.begin(); entry != links_.end();) {
+void RoutedRelay::drop_connections(const RoutingView& view) {
+  for (auto entry = connections_.begin(); entry != connections_.end();) {
     auto row = view.runners.find(entry->first.second);
-    bool is_listed = row != view.runners.end() && row->second.http == entry->first.first;
-    entry = is_listed ? std::next(entry) : links_.erase(entry);
+    bool is_listed = row != view.runners.end() && row->second.http_address == entry->first.first;
+    entry = is_listed ? std::next(entry) : connections_.erase(entry);
   }
 }
 
-std::shared_ptr<RoutedRelay::RunnerLink> RoutedRelay::link_to(const RoutedSend& act) {
+std::shared_ptr<RoutedRelay::RunnerConnection> RoutedRelay::connection_to(const RoutedSend& act) {
   // A call that must not run twice never goes over a link that was used before: the library would
   // send it again by itself when such a link turns out closed (HttpClientBehaviour shows it).
   if (!act.is_repeatable)
-    return std::make_shared<RunnerLink>(act.http, config_for(act.http));
-  auto& link = links_[{act.http, act.runner}];
-  if (!link || link->is_spoilt)
-    link = std::make_shared<RunnerLink>(act.http, config_for(act.http));
-  return link;
+    return std::make_shared<RunnerConnection>(act.http, config_for(act.http));
+  auto& connection = connections_[{act.http, act.runner}];
+  if (!connection || connection->is_spoilt)
+    connection = std::make_shared<RunnerConnection>(act.http, config_for(act.http));
+  return connection;
 }
 
-void RoutedRelay::send(const RoutedSend& act, Moment now) {
+void RoutedRelay::send(const RoutedSend& act, TimePoint now) {
   auto entry = calls_.find(act.call);
   if (entry == calls_.end())
     return;
@@ -102,7 +102,7 @@
   std::optional<http_request> request;
   try {
     request = request_to_runner(*sending, last, now);
-    sending->link = link_to(act);
+    sending->connection = connection_to(act);
   } catch (const std::exception& fault) {
     return end(sending, RoutedEndKind::unsent, fault.what());
   }
@@ -110,15 +110,15 @@
   begin(sending, *request);
 }
 
-http_request RoutedRelay::request_to_runner(const Send& send, const std::string& resume_after, Moment now) const {
+http_request RoutedRelay::request_to_runner(const Send& send, const std::string& resume_after, TimePoint now) const {
   const auto& handle = *send.handle;
   http_request request(handle.method);
   request.set_request_uri(handle.target);
   auto& headers = request.headers();
   for (const auto& [name, value] : handle.headers)
     headers.add(name, value);
-  if (!words_.life_expected.empty())
-    headers.add(words_.life_expected, send.act.runner.text);
+  if (!words_.expected_incarnation.empty())
+    headers.add(words_.expected_incarnation, send.act.runner.text);
   if (!words_.rank.empty())
     headers.add(words_.rank, std::to_string(send.act.rank));
   if (!words_.deadline.empty())
@@ -138,14 +138,15 @@
 
 void RoutedRelay::begin(const std::shared_ptr<Send>& send, const http_request& request) {
   try {
-    send->link->client.request(request, send->stop.get_token()).then([this, send](pplx::task<http_response> answering) {
-      try {
-        send->response = answering.get();
-      } catch (const std::exception& fault) {
-        return take_fault(send, fault);
-      }
-      take_head(send);
-    });
+    send->connection->client.request(request, send->stop.get_token())
+        .then([this, send](pplx::task<http_response> answering) {
+          try {
+            send->response = answering.get();
+          } catch (const std::exception& fault) {
+            return take_fault(send, fault);
+          }
+          take_head(send);
+        });
   } catch (const std::exception& fault) {
     end(send, RoutedEndKind::lost, fault.what());
   }
@@ -159,12 +160,13 @@
       http_fault != nullptr && is_unsent) {
     // The library tells a refused connection as an unreachable host; a real one takes its time.
     auto code = http_fault->error_code();
-    bool was_quick = steady_now() - send->begun < refused_link_bound;
-    over.was_link_refused = code == std::errc::connection_refused || (code == std::errc::host_unreachable && was_quick);
-    over.was_slow_to_connect = !over.was_link_refused;
+    bool was_quick = steady_now() - send->begun < refused_connection_bound;
+    over.was_connection_refused =
+        code == std::errc::connection_refused || (code == std::errc::host_unreachable && was_quick);
+    over.was_slow_to_connect = !over.was_connection_refused;
   }
   if (!is_unsent)
-    ++relay_counts_.links_broken;
+    ++relay_counts_.connections_broken;
   std::lock_guard<std::mutex> guard(send->handle->mutex);
   if (send->handle->turn != send->act.turn)
     return;
--- a/packages/data-plane/src/routed_relay_state.hpp
+++ b/packages/data-plane/src/routed_relay_state.hpp
@@ -8,7 +8,7 @@
 
 constexpr std::size_t max_answer = 16 << 20;
 constexpr std::size_t max_bytes_in_hand = 16 << 20;  // of bodies of calls
-constexpr Span overload_retry_after{250}, stopped_retry_after{250};
+constexpr Duration overload_retry_after{250}, stopped_retry_after{250};
 
 struct RoutedRelay::Handle {
   explicit Handle(std::shared_ptr<InHand> counted) : in_hand(std::move(counted)) {}
@@ -30,14 +30,14 @@
   std::mutex mutex;  // of all below
   int turn = 0;      // the send whose answer may go to the caller; 0: none
   bool is_stream_open = false, is_over = false;
-  std::string last_event;  // the last id that went to the caller
-  Moment told_at{-1000};   // when the dispatcher last heard of this stream
+  std::string last_event;        // the last id that went to the caller
+  TimePoint notified_at{-1000};  // when the dispatcher last heard of this stream
   std::optional<concurrency::streams::producer_consumer_buffer<std::uint8_t>> pieces;
   std::optional<web::http::http_response> kept;  // a runner's own answer, given if no other comes
 };
 
-struct RoutedRelay::RunnerLink {
-  explicit RunnerLink(const std::string& http, const web::http::client::http_client_config& config)
+struct RoutedRelay::RunnerConnection {
+  explicit RunnerConnection(const std::string& http, const web::http::client::http_client_config& config)
       : client("http://" + http, config) {}
   web::http::client::http_client client;
   std::atomic<bool> is_spoilt{false};  // bytes of another call came over it
@@ -48,9 +48,9 @@
       : act(std::move(a)), handle(std::move(h)), sieve(std::move(last)) {}
   RoutedSend act;
   std::shared_ptr<Handle> handle;
-  std::shared_ptr<RunnerLink> link;
+  std::shared_ptr<RunnerConnection> connection;
   pplx::cancellation_token_source stop;
-  Moment begun;
+  TimePoint begun;
   std::shared_ptr<std::atomic<int>> times_written = std::make_shared<std::atomic<int>>(0);
   web::http::http_response response{0};
   RawCutter cutter;
--- a/packages/data-plane/src/routed_relay_streams.cpp
+++ b/packages/data-plane/src/routed_relay_streams.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr std::size_t stream_bound = 1 << 20;  // what a caller may lag behind its stream; also the largest event
-constexpr Span piece_pace{50};                 // the dispatcher hears that often of a stream that goes on
+constexpr Duration piece_pace{50};             // the dispatcher hears that often of a stream that goes on
 
 }  // namespace
 
@@ -62,9 +62,9 @@
   handle->pieces->putn_nocopy(reinterpret_cast<const std::uint8_t*>(out.data()), out.size());
   handle->pieces->sync();
   handle->last_event = send->sieve.last();
-  Moment now = steady_now();
-  if (now - handle->told_at >= piece_pace || is_first) {
-    handle->told_at = now;
+  TimePoint now = steady_now();
+  if (now - handle->notified_at >= piece_pace || is_first) {
+    handle->notified_at = now;
     events_.force(Piece{send->act.call, send->act.turn});
   }
   return true;
@@ -91,7 +91,7 @@
   const auto& headers = send->response.headers();
   bool is_clean = !is_broken && (headers.has("Content-Length") || headers.has("Transfer-Encoding"));
   if (!is_clean) {
-    ++relay_counts_.links_broken;
+    ++relay_counts_.connections_broken;
     end(send, RoutedEndKind::lost, "the stream broke");
     return;
   }
--- a/packages/data-plane/tests/call_relay_test.cpp
+++ b/packages/data-plane/tests/call_relay_test.cpp
@@ -33,8 +33,8 @@
 // One relay with one plan of each sort and the given runners, granted for a minute.
 class Bench {
  public:
-  explicit Bench(const std::vector<std::string>& runner_places, Integer capacity = 8) : place_(free_place()) {
-    auto view = std::make_shared<TrafficView>();
+  explicit Bench(const std::vector<std::string>& runner_places, std::int64_t capacity = 8) : place_(free_place()) {
+    auto view = std::make_shared<RoutingView>();
     view->version = {1, 1};
     std::vector<Finding> findings;
     for (const auto& [name, body] : std::map<std::string, std::string>{
@@ -47,7 +47,7 @@
     for (const auto& runner_place : runner_places) {
       RunnerRow row;
       row.name.text = "r" + std::to_string(++number);
-      row.http = runner_place;
+      row.http_address = runner_place;
       row.pool.text = "p";
       row.region.text = "here";
       row.status = "warm";
@@ -59,7 +59,7 @@
     }
     view->regions[{PoolName{"p"}, RegionName{"here"}}] = {PoolName{"p"}, RegionName{"here"}, capacity, 0, false};
     view->gateways.push_back({Address{"g"}, "127.0.0.9:80", ZoneName{"z"}, RegionName{"away"}});
-    snapshot_.put(view, Grant{steady_now() + Span{60000}, {1, 1}});
+    snapshot_.put(view, Grant{steady_now() + Duration{60000}, {1, 1}});
     DispatcherSettings settings;
     settings.self.text = "d";
     settings.region.text = "here";
@@ -68,7 +68,7 @@
     auto opened = relay_->open();
     EXPECT_TRUE(opened) << opened.reason;
   }
-  ~Bench() { relay_->stop(Span{3000}); }
+  ~Bench() { relay_->stop(Duration{3000}); }
 
   pplx::task<Told> ask_later(const std::string& path, const std::string& body = "{}",
                              const std::string& method = "POST", const std::string& type = "application/json") {
@@ -87,7 +87,7 @@
            const std::string& type = "application/json") {
     return ask_later(path, body, method, type).get();
   }
-  void take_grant() { snapshot_.put(snapshot_.get().first, Grant{Moment{0}, {1, 1}}); }
+  void take_grant() { snapshot_.put(snapshot_.get().first, Grant{TimePoint{0}, {1, 1}}); }
   CallRelay& relay() { return *relay_; }
 
  private:
@@ -96,8 +96,8 @@
   std::unique_ptr<CallRelay> relay_;
 };
 
-std::string answer_bytes(const Asked& asked, const std::string& runner, const std::string& body,
-                         const std::string& seal_body, const std::string& key = "key") {
+std::string response_bytes(const Asked& asked, const std::string& runner, const std::string& body,
+                           const std::string& seal_body, const std::string& key = "key") {
   return "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nX-Runner: " + runner +
          "\r\nX-Runner-Incarnation: 7\r\nX-Runner-Seal: " +
          seal_of(key, asked.header("X-Emberdale-Call"), runner, 7, "200\n" + seal_body) +
@@ -131,7 +131,7 @@
   std::size_t length = 0;
   std::atomic<std::size_t> cut{0};
   CountingServer runner([&](const Asked& asked) {
-    std::string bytes = answer_bytes(asked, "r1", R"({"v":"accept"})", R"({"v":"accept"})");
+    std::string bytes = response_bytes(asked, "r1", R"({"v":"accept"})", R"({"v":"accept"})");
     length = bytes.size();
     return std::make_pair(bytes.substr(0, cut), true);
   });
@@ -208,15 +208,15 @@
   CountingServer runner([&](const Asked& asked) {
     std::string body = R"({"v":1})";
     if (kind == 0)
-      return std::make_pair(answer_bytes(asked, "r1", body, R"({"v":2})"), true);  // seal of another body
+      return std::make_pair(response_bytes(asked, "r1", body, R"({"v":2})"), true);  // seal of another body
     if (kind == 1)
-      return std::make_pair(answer_bytes(asked, "r1", body, body, "other key"), true);  // not the runner's
+      return std::make_pair(response_bytes(asked, "r1", body, body, "other key"), true);  // not the runner's
     if (kind == 2)
-      return std::make_pair(answer_bytes(asked, "r9", body, body), true);  // another runner
+      return std::make_pair(response_bytes(asked, "r9", body, body), true);  // another runner
     Asked other = asked;
     other.head = "\r\nX-Emberdale-Call: some-other-call\r\n";
     if (kind == 3)
-      return std::make_pair(answer_bytes(other, "r1", body, body), true);  // another call's answer
+      return std::make_pair(response_bytes(other, "r1", body, body), true);  // another call's answer
     return std::make_pair(std::string("HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\n{\"v\":1}"), true);  // no seal
   });
   for (kind = 0; kind < 5; ++kind) {
@@ -234,7 +234,7 @@
   CountingServer full([](const Asked&) { return std::make_pair(refusal_bytes("r1", "full"), false); });
   std::string nobody = free_place();
   auto good_script = [](const Asked& asked) {
-    return std::make_pair(answer_bytes(asked, "r2", "{}", "{}"), true);
+    return std::make_pair(response_bytes(asked, "r2", "{}", "{}"), true);
   };
   for (int i = 0; i < 6; ++i) {  // which runner comes first is the ranking's to say: try several calls
     CountingServer good(good_script);
@@ -281,7 +281,7 @@
 }
 
 TEST(CallRelay, RefusesWhatIsNotACallWithAReason) {
-  CountingServer good([](const Asked& asked) { return std::make_pair(answer_bytes(asked, "r1", "{}", "{}"), true); });
+  CountingServer good([](const Asked& asked) { return std::make_pair(response_bytes(asked, "r1", "{}", "{}"), true); });
   Bench bench({good.place()});
   EXPECT_EQ(bench.ask("/nowhere").code, 404);
   EXPECT_EQ(bench.ask("/once", "", "GET").code, 405);
@@ -302,8 +302,8 @@
   // Answers the first call of a link and keeps it; reads the second and closes. Over a reused link the
   // library sends such a call again by itself.
   CountingServer runner([](const Asked& asked) {
-    return asked.number_on_link == 1 && asked.body == "{}"
-               ? std::make_pair(answer_bytes(asked, "r1", "{}", "{}"), false)
+    return asked.number_on_connection == 1 && asked.body == "{}"
+               ? std::make_pair(response_bytes(asked, "r1", "{}", "{}"), false)
                : std::make_pair(std::string(), true);
   });
   Bench bench({runner.place()});
--- a/packages/data-plane/tests/counting_server.hpp
+++ b/packages/data-plane/tests/counting_server.hpp
@@ -15,7 +15,7 @@
 using asio::ip::tcp;
 
 struct Asked {
-  int number_on_link = 0;
+  int number_on_connection = 0;
   std::string path, head, body;
   // Example: asked.header("X-Emberdale-Call")
   std::string header(const std::string& name) const {
@@ -64,50 +64,51 @@
       accept();
     });
   }
-  void read(std::shared_ptr<Link> link) {
+  void read(std::shared_ptr<Link> connection) {
     asio::async_read_until(
-        link->socket, link->in, "\r\n\r\n", [this, link](boost::system::error_code fault, std::size_t size) {
+        connection->socket, connection->in, "\r\n\r\n",
+        [this, connection](boost::system::error_code fault, std::size_t size) {
           if (fault)
             return;
-          std::string head(asio::buffers_begin(link->in.data()),
-                           asio::buffers_begin(link->in.data()) + static_cast<std::ptrdiff_t>(size));
-          link->in.consume(size);
+          std::string head(asio::buffers_begin(connection->in.data()),
+                           asio::buffers_begin(connection->in.data()) + static_cast<std::ptrdiff_t>(size));
+          connection->in.consume(size);
           std::size_t body = 0;
           auto mark = head.find("Content-Length:");
           if (mark != std::string::npos)
             body = static_cast<std::size_t>(std::atoi(head.c_str() + mark + 15));
-          std::size_t missing = body > link->in.size() ? body - link->in.size() : 0;
-          asio::async_read(link->socket, link->in, asio::transfer_exactly(missing),
-                           [this, link, head, body](boost::system::error_code broken, std::size_t) {
-                             if (broken)
-                               return;
-                             Asked asked;
-                             asked.body.assign(
-                                 asio::buffers_begin(link->in.data()),
-                                 asio::buffers_begin(link->in.data()) + static_cast<std::ptrdiff_t>(body));
-                             asked.head = head;
-                             link->in.consume(body);
-                             std::string path = head.substr(head.find(' ') + 1);
-                             path = path.substr(0, path.find(' '));
-                             {
-                               std::lock_guard<std::mutex> guard(mutex_);
-                               ++executions_[path];  // the whole call has arrived: a back end would run it now
-                             }
-                             asked.path = path;
-                             asked.number_on_link = ++link->number;
-                             auto [out, is_close] = script_(asked);
-                             link->out = out;
-                             asio::async_write(link->socket, asio::buffer(link->out),
-                                               [this, link, closes = is_close](boost::system::error_code, std::size_t) {
-                                                 if (closes) {
-                                                   boost::system::error_code ignored;
-                                                   link->socket.shutdown(tcp::socket::shutdown_both, ignored);
-                                                   link->socket.close(ignored);
-                                                 } else {
-                                                   read(link);
-                                                 }
-                                               });
-                           });
+          std::size_t missing = body > connection->in.size() ? body - connection->in.size() : 0;
+          asio::async_read(
+              connection->socket, connection->in, asio::transfer_exactly(missing),
+              [this, connection, head, body](boost::system::error_code broken, std::size_t) {
+                if (broken)
+                  return;
+                Asked asked;
+                asked.body.assign(asio::buffers_begin(connection->in.data()),
+                                  asio::buffers_begin(connection->in.data()) + static_cast<std::ptrdiff_t>(body));
+                asked.head = head;
+                connection->in.consume(body);
+                std::string path = head.substr(head.find(' ') + 1);
+                path = path.substr(0, path.find(' '));
+                {
+                  std::lock_guard<std::mutex> guard(mutex_);
+                  ++executions_[path];  // the whole call has arrived: a back end would run it now
+                }
+                asked.path = path;
+                asked.number_on_connection = ++connection->number;
+                auto [out, is_close] = script_(asked);
+                connection->out = out;
+                asio::async_write(connection->socket, asio::buffer(connection->out),
+                                  [this, connection, closes = is_close](boost::system::error_code, std::size_t) {
+                                    if (closes) {
+                                      boost::system::error_code ignored;
+                                      connection->socket.shutdown(tcp::socket::shutdown_both, ignored);
+                                      connection->socket.close(ignored);
+                                    } else {
+                                      read(connection);
+                                    }
+                                  });
+              });
         });
   }
   Script script_;
--- a/packages/data-plane/tests/data_path_fuzz_test.cpp
+++ b/packages/data-plane/tests/data_path_fuzz_test.cpp
@@ -75,8 +75,8 @@
     }
     auto found = std::exchange(faults_, {});
     auto of_runners = ledger_.faults();
-    for (; ledger_faults_told_ < of_runners.size(); ++ledger_faults_told_)
-      found.push_back(of_runners[ledger_faults_told_]);
+    for (; ledger_faults_reported_ < of_runners.size(); ++ledger_faults_reported_)
+      found.push_back(of_runners[ledger_faults_reported_]);
     std::cout << joined(found);  // while a find is shrunk, only the last case's own report would be left
     return found;
   }
@@ -92,7 +92,7 @@
   RelayUnderTest relay_;
   std::array<std::unique_ptr<FuzzCaller>, connection_count> callers_;
   std::vector<std::string> faults_;
-  std::size_t ledger_faults_told_ = 0;
+  std::size_t ledger_faults_reported_ = 0;
 };
 
 // --- commands ----------------------------------------------------------------------------------------
@@ -171,10 +171,10 @@
   auto socket = RawSocket::connect(path.relay().port());
   std::string first = path.ledger().begin(plan), second = path.ledger().begin(plan);
   socket.write(request_bytes(first, plan) + request_bytes(second, plan));
-  SeenAnswer answer = read_answer(socket, 4000);
+  SeenAnswer answer = read_response(socket, 4000);
   EXPECT_EQ(answer.status, 200);
   EXPECT_EQ(header_value(answer.head, "T-Call"), first);
-  EXPECT_EQ(read_answer(socket, 300).end, RawSocket::End::silent);
+  EXPECT_EQ(read_response(socket, 300).end, RawSocket::End::silent);
   EXPECT_TRUE(path.ledger().runs(second).empty());
 }
 
@@ -190,8 +190,8 @@
   ASSERT_LT(bytes.size(), first_read);
   bytes.resize(first_read, '.');
   socket.write(bytes + request_bytes(hidden, plan));
-  EXPECT_EQ(header_value(read_answer(socket, 4000).head, "T-Call"), first);
-  EXPECT_EQ(header_value(read_answer(socket, 1000).head, "T-Call"), hidden);
+  EXPECT_EQ(header_value(read_response(socket, 4000).head, "T-Call"), first);
+  EXPECT_EQ(header_value(read_response(socket, 1000).head, "T-Call"), hidden);
 }
 
 // --- finds, each as the case that showed it -----------------------------------------------------------
--- a/packages/data-plane/tests/data_path_stop_fuzz_test.cpp
+++ b/packages/data-plane/tests/data_path_stop_fuzz_test.cpp
@@ -65,7 +65,7 @@
     }
     std::this_thread::sleep_for(std::chrono::milliseconds(chosen.calls_before_stop_ms));
     auto begun = std::chrono::steady_clock::now();
-    std::thread stopping([&] { relay.relay().stop(emberdale::Span{chosen.patience_ms}); });
+    std::thread stopping([&] { relay.relay().stop(emberdale::Duration{chosen.patience_ms}); });
     for (auto& caller : callers)
       caller->collect();
     stopping.join();
--- a/packages/data-plane/tests/http_client_behaviour_test.cpp
+++ b/packages/data-plane/tests/http_client_behaviour_test.cpp
@@ -35,7 +35,7 @@
 
 TEST(HttpClientBehaviour, AReusedLinkThatClosesAfterReadingRunsTheCallAgain) {
   CountingServer server([](const Asked& asked) {
-    return asked.number_on_link == 1 ? std::make_pair(good, false) : std::make_pair(std::string(), true);
+    return asked.number_on_connection == 1 ? std::make_pair(good, false) : std::make_pair(std::string(), true);
   });
   http_client client(server.url());
   ASSERT_TRUE(ask(client, "/first"));
@@ -46,8 +46,8 @@
 
 TEST(HttpClientBehaviour, AFreshLinkSendsACallOnce) {
   CountingServer server([](const Asked& asked) {
-    return asked.path == "/first" && asked.number_on_link == 1 ? std::make_pair(good, false)
-                                                               : std::make_pair(std::string(), true);
+    return asked.path == "/first" && asked.number_on_connection == 1 ? std::make_pair(good, false)
+                                                                     : std::make_pair(std::string(), true);
   });
   for (int i = 0; i < 20; ++i) {
     std::string path = "/call-" + std::to_string(i);
--- a/packages/data-plane/tests/routed_relay_test.cpp
+++ b/packages/data-plane/tests/routed_relay_test.cpp
@@ -20,9 +20,9 @@
 [[maybe_unused]] const bool has_threads = (crossplat::threadpool::initialize_with_threads(4), true);
 
 // One link, read and written byte for byte; nothing on it waits longer than six seconds.
-class RawLink {
+class RawConnection {
  public:
-  explicit RawLink(tcp::socket socket) : socket_(std::move(socket)) {
+  explicit RawConnection(tcp::socket socket) : socket_(std::move(socket)) {
     timeval patience{6, 0};
     setsockopt(socket_.native_handle(), SOL_SOCKET, SO_RCVTIMEO, &patience, sizeof patience);
   }
@@ -97,15 +97,15 @@
   bool has(const std::string& name) const { return head.find("\r\n" + name + ":") != std::string::npos; }
 };
 
-std::optional<RawMessage> read_request(RawLink& link) {
+std::optional<RawMessage> read_request(RawConnection& connection) {
   RawMessage message;
-  message.head = link.read_to("\r\n\r\n");
+  message.head = connection.read_to("\r\n\r\n");
   if (message.head.empty())
     return std::nullopt;
   message.start = message.head.substr(0, message.head.find("\r\n"));
   std::string length = message.header("Content-Length");
   if (!length.empty())
-    message.body = link.read_size(static_cast<std::size_t>(std::stoul(length)));
+    message.body = connection.read_size(static_cast<std::size_t>(std::stoul(length)));
   return message;
 }
 
@@ -113,7 +113,7 @@
 class ScriptedRunner {
  public:
   // False: the link is closed.
-  using Script = std::function<bool(RawLink&, const RawMessage&)>;
+  using Script = std::function<bool(RawConnection&, const RawMessage&)>;
   explicit ScriptedRunner(Script script)
       : script_(std::move(script)), acceptor_(context_, tcp::endpoint(boost::asio::ip::address_v4::loopback(), 0)) {
     thread_ = std::thread([this] {
@@ -124,12 +124,12 @@
         if (fault || is_over_)
           return;
         std::lock_guard<std::mutex> guard(mutex_);
-        links_.emplace_back(std::move(socket));
-        serving_.emplace_back([this, link = &links_.back()] {
-          while (auto request = read_request(*link))
-            if (!script_(*link, *request))
+        connections_.emplace_back(std::move(socket));
+        serving_.emplace_back([this, connection = &connections_.back()] {
+          while (auto request = read_request(*connection))
+            if (!script_(*connection, *request))
               break;
-          link->close();
+          connection->close();
         });
       }
     });
@@ -140,8 +140,8 @@
     thread_.join();
     {
       std::lock_guard<std::mutex> guard(mutex_);
-      for (auto& link : links_)
-        link.close();
+      for (auto& connection : connections_)
+        connection.close();
     }
     for (auto& serving : serving_)
       serving.join();
@@ -155,7 +155,7 @@
   tcp::acceptor acceptor_;
   std::thread thread_;
   std::mutex mutex_;
-  std::list<RawLink> links_;
+  std::list<RawConnection> connections_;
   std::list<std::thread> serving_;
   std::atomic<bool> is_over_{false};
 };
@@ -166,15 +166,15 @@
   return "127.0.0.1:" + std::to_string(acceptor.local_endpoint().port());
 }
 
-RelayWords test_words() {
-  RelayWords words;
+RelayHeaderNames test_words() {
+  RelayHeaderNames words;
   words.call_id = "T-Call";
   words.deadline = "T-Horizon";
   words.prompt = "T-Prompt";
   words.tokens = "T-Tokens";
-  words.life_expected = "T-Life-Expected";
+  words.expected_incarnation = "T-Life-Expected";
   words.rank = "T-Rank";
-  words.life = "T-Life";
+  words.incarnation = "T-Life";
   words.seal = "T-Seal";
   words.load = "T-Burden";
   words.not_run = "T-Not-Run";
@@ -188,25 +188,25 @@
   bool is_whole = false;  // by its length or its last chunk
 };
 
-Told read_answer(RawLink& link) {
+Told read_response(RawConnection& connection) {
   Told told;
-  std::string head = link.read_to("\r\n\r\n");
+  std::string head = connection.read_to("\r\n\r\n");
   if (head.empty())
     return told;
   told.message.head = head;
   told.code = std::atoi(head.substr(9, 3).c_str());
   std::string length = told.message.header("Content-Length");
   if (!length.empty()) {
-    told.body = link.read_size(std::stoul(length));
+    told.body = connection.read_size(std::stoul(length));
     told.is_whole = told.body.size() == std::stoul(length);
     return told;
   }
   for (;;) {
-    std::string line = link.read_to("\r\n");
+    std::string line = connection.read_to("\r\n");
     if (line.empty())
       return told;
     std::size_t size = std::stoul(line, nullptr, 16);
-    std::string chunk = link.read_size(size + 2);
+    std::string chunk = connection.read_size(size + 2);
     if (chunk.empty())
       return told;
     told.body += chunk.substr(0, size);
@@ -220,11 +220,11 @@
 // One relay with routes of each sort and the given runners.
 class Bench {
  public:
-  explicit Bench(const std::vector<std::string>& runner_places, bool has_traffic = true) : place_(free_place()) {
-    auto view = std::make_shared<TrafficView>();
-    view->has_traffic = has_traffic;
+  explicit Bench(const std::vector<std::string>& runner_places, bool has_routing_table = true) : place_(free_place()) {
+    auto view = std::make_shared<RoutingView>();
+    view->has_routing_table = has_routing_table;
     auto add = [&](const std::string& name, bool is_repeatable, bool is_streaming, std::int64_t target) {
-      TrafficRoute route;
+      Route route;
       route.name = name;
       route.host = "front.example";
       route.path_prefix = "/" + name + "/";
@@ -250,7 +250,7 @@
     for (const auto& runner_place : runner_places) {
       RunnerRow row;
       row.name.text = "r" + std::to_string(++number);
-      row.http = runner_place;
+      row.http_address = runner_place;
       row.pool.text = "p";
       row.region.text = "here";
       row.zone.text = "z";
@@ -269,14 +269,14 @@
     auto opened = relay_->open();
     EXPECT_TRUE(opened) << opened.reason;
   }
-  ~Bench() { relay_->stop(Span{3000}); }
+  ~Bench() { relay_->stop(Duration{3000}); }
 
-  std::unique_ptr<RawLink> connect() {
+  std::unique_ptr<RawConnection> connect() {
     tcp::socket socket(context_);
     auto colon = place_.find(':');
     socket.connect(tcp::endpoint(boost::asio::ip::make_address(place_.substr(0, colon)),
                                  static_cast<std::uint16_t>(std::stoi(place_.substr(colon + 1)))));
-    return std::make_unique<RawLink>(std::move(socket));
+    return std::make_unique<RawConnection>(std::move(socket));
   }
   static std::string call(const std::string& path, const std::string& id = "call-1", const std::string& headers = "",
                           const std::string& body = "{}", const std::string& method = "POST") {
@@ -284,9 +284,9 @@
            "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
   }
   Told tell(const std::string& bytes) {
-    auto link = connect();
-    link->write(bytes);
-    return read_answer(*link);
+    auto connection = connect();
+    connection->write(bytes);
+    return read_response(*connection);
   }
   Told ask(const std::string& path, const std::string& id = "call-1") { return tell(call(path, id)); }
   RoutedRelay& relay() { return *relay_; }
@@ -322,9 +322,9 @@
 
 TEST(RoutedRelay, AnAnswerAndItsCallGoThroughUnchanged) {
   RawMessage seen;
-  ScriptedRunner runner([&](RawLink& link, const RawMessage& asked) {
+  ScriptedRunner runner([&](RawConnection& connection, const RawMessage& asked) {
     seen = asked;
-    link.write(
+    connection.write(
         answer(asked, std::string("a\0b", 3), "207 Many",
                "Content-Type: application/x-own\r\nX-Own: 7\r\nConnection: X-Hop\r\nX-Hop: 1\r\nT-Burden: 1,0,8\r\n"));
     return true;
@@ -361,9 +361,9 @@
 
 TEST(RoutedRelay, EveryTargetGoesThroughByteForByte) {
   std::string seen;
-  ScriptedRunner runner([&](RawLink& link, const RawMessage& asked) {
+  ScriptedRunner runner([&](RawConnection& connection, const RawMessage& asked) {
     seen = asked.start;
-    link.write(answer(asked, ""));
+    connection.write(answer(asked, ""));
     return true;
   });
   Bench bench({runner.place()});
@@ -377,11 +377,11 @@
 TEST(RoutedRelay, ACallThatMayNotBeRepeatedIsSentOnceOverALinkThatCloses) {
   std::atomic<int> runs{0};
   std::atomic<bool> is_closing{false};
-  ScriptedRunner runner([&](RawLink& link, const RawMessage& asked) {
+  ScriptedRunner runner([&](RawConnection& connection, const RawMessage& asked) {
     ++runs;
     if (is_closing)
       return false;
-    link.write(answer(asked, "{}"));
+    connection.write(answer(asked, "{}"));
     return true;  // the link would be there for another call
   });
   Bench bench({runner.place()});
@@ -396,9 +396,9 @@
 
 TEST(RoutedRelay, AnAnswerCutShortIsNeverHandedOn) {
   std::atomic<int> runs{0};
-  auto script = [&](RawLink& link, const RawMessage& asked) {
+  auto script = [&](RawConnection& connection, const RawMessage& asked) {
     std::string bytes = answer(asked, "the whole answer");
-    link.write(++runs == 1 ? bytes.substr(0, bytes.size() - 4) : bytes);
+    connection.write(++runs == 1 ? bytes.substr(0, bytes.size() - 4) : bytes);
     return runs != 1;
   };
   ScriptedRunner one(script), two(script);
@@ -419,12 +419,12 @@
 
 TEST(RoutedRelay, RedirectsAndEncodedAnswersAreTheRunnersOwn) {
   std::atomic<int> runs{0};
-  auto script = [&](RawLink& link, const RawMessage& asked) {
+  auto script = [&](RawConnection& connection, const RawMessage& asked) {
     ++runs;
     if (asked.start.find("/moved") != std::string::npos)
-      link.write(answer(asked, "", "307 Moved", "Location: /once/other\r\n"));
+      connection.write(answer(asked, "", "307 Moved", "Location: /once/other\r\n"));
     else
-      link.write(answer(asked, "\x1f\x8b not really", "200 OK", "Content-Encoding: gzip\r\n"));
+      connection.write(answer(asked, "\x1f\x8b not really", "200 OK", "Content-Encoding: gzip\r\n"));
     return true;
   };
   ScriptedRunner one(script), two(script);
@@ -443,8 +443,8 @@
 }
 
 TEST(RoutedRelay, AnAnswerThatDoesNotTellItsLengthIsNeverHandedOn) {
-  ScriptedRunner runner([&](RawLink& link, const RawMessage& asked) {
-    link.write("HTTP/1.1 200 OK\r\nT-Seal: s\r\nT-Call: " + asked.header("T-Call") + "\r\n\r\nhalf or whole");
+  ScriptedRunner runner([&](RawConnection& connection, const RawMessage& asked) {
+    connection.write("HTTP/1.1 200 OK\r\nT-Seal: s\r\nT-Call: " + asked.header("T-Call") + "\r\n\r\nhalf or whole");
     return false;
   });
   Bench bench({runner.place()});
@@ -452,8 +452,8 @@
 }
 
 TEST(RoutedRelay, AStreamCutWithinAnEventEndsVisiblyBroken) {
-  ScriptedRunner runner([&](RawLink& link, const RawMessage& asked) {
-    link.write(stream_head(asked) + chunk(event(1)) + chunk(event(2) + "id: 3\ndata: hal"));
+  ScriptedRunner runner([&](RawConnection& connection, const RawMessage& asked) {
+    connection.write(stream_head(asked) + chunk(event(1)) + chunk(event(2) + "id: 3\ndata: hal"));
     return false;
   });
   Bench bench({runner.place()});
@@ -473,14 +473,14 @@
   std::atomic<int> runs{0};
   std::atomic<std::size_t> cut{0};
   std::string resume;
-  auto script = [&](RawLink& link, const RawMessage& asked) {
+  auto script = [&](RawConnection& connection, const RawMessage& asked) {
     if (++runs == 1) {
       std::string bytes = stream_head(asked, "first");
       for (std::size_t at = 0; at < plain.size(); at += 13)
         bytes += chunk(plain.substr(at, 13));
       bytes += "0\r\n\r\n";
       whole = bytes;
-      link.write(bytes.substr(0, cut));
+      connection.write(bytes.substr(0, cut));
       return false;
     }
     resume = asked.header("Last-Event-Id");
@@ -488,7 +488,7 @@
     std::string rest = ": again\n\n";
     for (int id = std::max(1, last); id <= 4; ++id)
       rest += event(id);  // one of them was there before
-    link.write(stream_head(asked, "second") + chunk(rest) + "0\r\n\r\n");
+    connection.write(stream_head(asked, "second") + chunk(rest) + "0\r\n\r\n");
     return true;
   };
   int resumed = 0;
@@ -515,8 +515,8 @@
 }
 
 TEST(RoutedRelay, AStreamThatCanGoOnNowhereEndsVisiblyBroken) {
-  ScriptedRunner runner([&](RawLink& link, const RawMessage& asked) {
-    link.write(stream_head(asked) + chunk("data: no id\n\n"));
+  ScriptedRunner runner([&](RawConnection& connection, const RawMessage& asked) {
+    connection.write(stream_head(asked) + chunk("data: no id\n\n"));
     return false;
   });
   Bench bench({runner.place()});
@@ -534,12 +534,12 @@
 LateAnswer ask_after_late_answer(const std::function<std::string(const RawMessage&)>& late_answer) {
   std::promise<void> go, written;
   std::atomic<int> runs{0};
-  ScriptedRunner runner([&](RawLink& link, const RawMessage& asked) {
+  ScriptedRunner runner([&](RawConnection& connection, const RawMessage& asked) {
     int run = ++runs;
-    link.write(answer(asked, "for " + asked.header("T-Call")));
+    connection.write(answer(asked, "for " + asked.header("T-Call")));
     if (run == 1) {
       go.get_future().wait();
-      link.write(late_answer(asked));
+      connection.write(late_answer(asked));
       written.set_value();
     }
     return true;
@@ -574,9 +574,9 @@
 TEST(RoutedRelay, AStatusThatPromisesNotToHaveRunIsNotHandedOnWithoutTheMark) {
   for (const std::string status : {"503 Full", "429 Busy", "408 Late"}) {
     std::atomic<int> runs{0};
-    auto script = [&](RawLink& link, const RawMessage& asked) {
+    auto script = [&](RawConnection& connection, const RawMessage& asked) {
       ++runs;
-      link.write(answer(asked, "unmarked", status));
+      connection.write(answer(asked, "unmarked", status));
       return true;
     };
     ScriptedRunner one(script), two(script);
@@ -595,8 +595,8 @@
 
 TEST(RoutedRelay, AStatusOutsideTheProtocolIsNeverHandedOn) {
   for (const std::string status : {"999 Odd", "600 Odd", "099 Odd", "70000 Odd"}) {
-    ScriptedRunner runner([&](RawLink& link, const RawMessage& asked) {
-      link.write(answer(asked, "odd", status));
+    ScriptedRunner runner([&](RawConnection& connection, const RawMessage& asked) {
+      connection.write(answer(asked, "odd", status));
       return true;
     });
     Bench bench({runner.place()});
@@ -607,22 +607,22 @@
 // Two readers that see the end of such a body at different places would see a second request in it.
 TEST(RoutedRelay, ABodyWhoseEndIsNotClearIsRefusedAndNothingInItRuns) {
   std::atomic<int> runs{0};
-  ScriptedRunner runner([&](RawLink& link, const RawMessage& asked) {
+  ScriptedRunner runner([&](RawConnection& connection, const RawMessage& asked) {
     ++runs;
-    link.write(answer(asked, "{}"));
+    connection.write(answer(asked, "{}"));
     return true;
   });
   for (const std::string framing :
        {"Content-Length: 2\r\nTransfer-Encoding: chunked\r\n", "Transfer-Encoding: gzip\r\n", "Content-Length: 2x\r\n",
         "Content-Length: +2\r\n", "Content-Length: -2\r\n"}) {
     Bench bench({runner.place()});
-    auto link = bench.connect();
-    link->write("POST /once/x HTTP/1.1\r\nHost: front.example\r\nT-Call: c\r\n" + framing + "\r\n0\r\n\r\n" +
-                Bench::call("/once/hidden", "hidden"));
-    Told told = read_answer(*link);
+    auto connection = bench.connect();
+    connection->write("POST /once/x HTTP/1.1\r\nHost: front.example\r\nT-Call: c\r\n" + framing + "\r\n0\r\n\r\n" +
+                      Bench::call("/once/hidden", "hidden"));
+    Told told = read_response(*connection);
     EXPECT_EQ(told.code, 400) << framing;
-    EXPECT_EQ(link->read_all(), "") << framing;
-    EXPECT_TRUE(link->is_closed_by_other()) << framing;
+    EXPECT_EQ(connection->read_all(), "") << framing;
+    EXPECT_TRUE(connection->is_closed_by_other()) << framing;
   }
   EXPECT_EQ(runs, 0);
 }
@@ -630,11 +630,11 @@
 TEST(RoutedRelay, WhatSurelyDidNotRunGoesToTheNextRunner) {
   for (const std::string refusal : {"421 Other", "503 Full\r\nT-Not-Run: yes", "429 Busy\r\nT-Not-Run: yes"}) {
     std::atomic<int> runs{0};
-    auto script = [&](RawLink& link, const RawMessage& asked) {
+    auto script = [&](RawConnection& connection, const RawMessage& asked) {
       if (++runs == 1)
-        link.write("HTTP/1.1 " + refusal + "\r\nT-Burden: 8,3,8\r\nContent-Length: 4\r\n\r\nfull");
+        connection.write("HTTP/1.1 " + refusal + "\r\nT-Burden: 8,3,8\r\nContent-Length: 4\r\n\r\nfull");
       else
-        link.write(answer(asked, "{}"));
+        connection.write(answer(asked, "{}"));
       return true;
     };
     ScriptedRunner one(script), two(script);
@@ -646,9 +646,9 @@
 
 TEST(RoutedRelay, NoLinkMeansTheNextRunner) {
   std::atomic<int> runs{0};
-  ScriptedRunner good([&](RawLink& link, const RawMessage& asked) {
+  ScriptedRunner good([&](RawConnection& connection, const RawMessage& asked) {
     ++runs;
-    link.write(answer(asked, "{}"));
+    connection.write(answer(asked, "{}"));
     return true;
   });
   for (int i = 0; i < 4; ++i) {
@@ -665,11 +665,11 @@
 
 TEST(RoutedRelay, AnAnswerWithoutASealIsNeverHandedOn) {
   std::atomic<int> runs{0};
-  auto script = [&](RawLink& link, const RawMessage& asked) {
+  auto script = [&](RawConnection& connection, const RawMessage& asked) {
     if (++runs == 1)
-      link.write("HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\nunsealed");
+      connection.write("HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\nunsealed");
     else
-      link.write(answer(asked, "sealed"));
+      connection.write(answer(asked, "sealed"));
     return true;
   };
   ScriptedRunner one(script), two(script);
@@ -686,11 +686,11 @@
 TEST(RoutedRelay, ARunnersOwnFailureIsHandedOnAndARepeatableOneTriedElsewhereFirst) {
   std::atomic<int> runs{0};
   std::atomic<int> failing{1};
-  auto script = [&](RawLink& link, const RawMessage& asked) {
+  auto script = [&](RawConnection& connection, const RawMessage& asked) {
     if (++runs <= failing)
-      link.write(answer(asked, "own words", "500 Own", "X-Own: 1\r\n"));
+      connection.write(answer(asked, "own words", "500 Own", "X-Own: 1\r\n"));
     else
-      link.write(answer(asked, "{}"));
+      connection.write(answer(asked, "{}"));
     return true;
   };
   ScriptedRunner one(script), two(script);
@@ -715,10 +715,10 @@
 TEST(RoutedRelay, BodiesComeByLengthOrChunkedAndWithinTheLimit) {
   std::string seen;
   std::atomic<int> runs{0};
-  ScriptedRunner runner([&](RawLink& link, const RawMessage& asked) {
+  ScriptedRunner runner([&](RawConnection& connection, const RawMessage& asked) {
     ++runs;
     seen = asked.body;
-    link.write(answer(asked, "{}"));
+    connection.write(answer(asked, "{}"));
     return true;
   });
   Bench bench({runner.place()});
@@ -744,12 +744,12 @@
 
 TEST(RoutedRelay, ABodyThatIsAnnouncedAndNeverSentIsRefusedAtOnceIfTooLarge) {
   Bench bench({free_place()});
-  auto link = bench.connect();
-  link->write("POST /once/x HTTP/1.1\r\nHost: front.example\r\nT-Call: c\r\nContent-Length: 99999999\r\n\r\n" +
-              std::string(5000, 'x'));
-  Told told = read_answer(*link);
+  auto connection = bench.connect();
+  connection->write("POST /once/x HTTP/1.1\r\nHost: front.example\r\nT-Call: c\r\nContent-Length: 99999999\r\n\r\n" +
+                    std::string(5000, 'x'));
+  Told told = read_response(*connection);
   EXPECT_EQ(told.code, 413);
-  EXPECT_TRUE(link->is_closed_by_other());
+  EXPECT_TRUE(connection->is_closed_by_other());
 }
 
 TEST(RoutedRelay, WhatIsNoCallIsRefusedWithoutRunning) {
@@ -768,13 +768,13 @@
 TEST(RoutedRelay, WhatASilentRunnerSaysAfterItWasGivenUpIsNeverHandedOn) {
   std::atomic<int> runs{0};
   std::promise<bool> closed;
-  auto script = [&](RawLink& link, const RawMessage& asked) {
+  auto script = [&](RawConnection& connection, const RawMessage& asked) {
     if (++runs == 1) {
-      closed.set_value(link.is_closed_by_other());  // the dispatcher gives it up
-      link.write(answer(asked, "late"));
+      closed.set_value(connection.is_closed_by_other());  // the dispatcher gives it up
+      connection.write(answer(asked, "late"));
       return false;
     }
-    link.write(answer(asked, "in time"));
+    connection.write(answer(asked, "in time"));
     return true;
   };
   ScriptedRunner one(script), two(script);
@@ -789,72 +789,72 @@
 TEST(RoutedRelay, ACallerThatLeavesWithinAStreamFreesTheRunner) {
   std::promise<void> left;
   std::promise<bool> closed;
-  ScriptedRunner runner([&](RawLink& link, const RawMessage& asked) {
-    link.write(stream_head(asked) + chunk(event(1)));
+  ScriptedRunner runner([&](RawConnection& connection, const RawMessage& asked) {
+    connection.write(stream_head(asked) + chunk(event(1)));
     left.get_future().wait();
     // Two more: the first meets the closed link, the second its reset.
     std::thread writing([&] {
       for (int id = 2; id < 400; ++id)
-        link.write(chunk(event(id) + std::string(4000, ':') + "\n\n"));
+        connection.write(chunk(event(id) + std::string(4000, ':') + "\n\n"));
     });
-    closed.set_value(link.is_closed_by_other());
+    closed.set_value(connection.is_closed_by_other());
     writing.join();
     return false;
   });
   Bench bench({runner.place()});
   {
-    auto link = bench.connect();
-    link->write(Bench::call("/stream/x"));
-    EXPECT_NE(link->read_to(event(1)), "");
+    auto connection = bench.connect();
+    connection->write(Bench::call("/stream/x"));
+    EXPECT_NE(connection->read_to(event(1)), "");
   }
   left.set_value();
   EXPECT_TRUE(closed.get_future().get());
 }
 
 TEST(RoutedRelay, ACallerLinkServesManyCalls) {
-  ScriptedRunner runner([&](RawLink& link, const RawMessage& asked) {
+  ScriptedRunner runner([&](RawConnection& connection, const RawMessage& asked) {
     if (asked.start.find("/stream/") != std::string::npos)
-      link.write(stream_head(asked) + chunk(event(1)) + "0\r\n\r\n");
+      connection.write(stream_head(asked) + chunk(event(1)) + "0\r\n\r\n");
     else
-      link.write(answer(asked, "for " + asked.header("T-Call")));
+      connection.write(answer(asked, "for " + asked.header("T-Call")));
     return true;
   });
   Bench bench({runner.place()});
-  auto link = bench.connect();
+  auto connection = bench.connect();
   for (int i = 0; i < 20; ++i) {
     std::string id = "call-" + std::to_string(i);
-    link->write(Bench::call(i % 3 == 0 ? "/once/x" : "/again/x", id));
-    EXPECT_EQ(read_answer(*link).body, "for " + id);
-    link->write(Bench::call("/stream/x", id));
-    EXPECT_EQ(read_answer(*link).body, event(1));
+    connection->write(Bench::call(i % 3 == 0 ? "/once/x" : "/again/x", id));
+    EXPECT_EQ(read_response(*connection).body, "for " + id);
+    connection->write(Bench::call("/stream/x", id));
+    EXPECT_EQ(read_response(*connection).body, event(1));
   }
   EXPECT_EQ(bench.relay().counts().arrived, 40);
 }
 
 TEST(RoutedRelay, AnswersWithoutABodyEndAtOnce) {
-  ScriptedRunner runner([&](RawLink& link, const RawMessage& asked) {
+  ScriptedRunner runner([&](RawConnection& connection, const RawMessage& asked) {
     if (asked.start.rfind("HEAD", 0) == 0)
-      link.write("HTTP/1.1 200 OK\r\nT-Call: c\r\nT-Seal: s\r\nContent-Length: 77\r\n\r\n");
+      connection.write("HTTP/1.1 200 OK\r\nT-Call: c\r\nT-Seal: s\r\nContent-Length: 77\r\n\r\n");
     else
-      link.write("HTTP/1.1 204 None\r\nT-Call: c\r\nT-Seal: s\r\n\r\n");
+      connection.write("HTTP/1.1 204 None\r\nT-Call: c\r\nT-Seal: s\r\n\r\n");
     return true;
   });
   Bench bench({runner.place()});
-  auto link = bench.connect();
-  link->write(Bench::call("/again/x", "c", "", "", "HEAD"));
-  EXPECT_EQ(link->read_to("\r\n\r\n").substr(0, 12), "HTTP/1.1 200");
-  link->write(Bench::call("/again/x", "c", "", "", "DELETE"));
-  EXPECT_EQ(link->read_to("\r\n\r\n").substr(0, 12), "HTTP/1.1 204");
+  auto connection = bench.connect();
+  connection->write(Bench::call("/again/x", "c", "", "", "HEAD"));
+  EXPECT_EQ(connection->read_to("\r\n\r\n").substr(0, 12), "HTTP/1.1 200");
+  connection->write(Bench::call("/again/x", "c", "", "", "DELETE"));
+  EXPECT_EQ(connection->read_to("\r\n\r\n").substr(0, 12), "HTTP/1.1 204");
 }
 
 TEST(RoutedRelay, WhileStoppingCallsAreServedAndCallersSentElsewhere) {
   std::promise<void> asked_for, go;
-  ScriptedRunner runner([&](RawLink& link, const RawMessage& asked) {
+  ScriptedRunner runner([&](RawConnection& connection, const RawMessage& asked) {
     if (asked.header("T-Call") == "held") {
       asked_for.set_value();
       go.get_future().wait();
     }
-    link.write(answer(asked, "{}"));
+    connection.write(answer(asked, "{}"));
     return true;
   });
   Bench bench({runner.place()});
@@ -864,44 +864,44 @@
   Told told = bench.ask("/once/x");
   EXPECT_EQ(told.code, 200);
   EXPECT_EQ(told.message.header("Connection"), "close");
-  auto link = bench.connect();
-  link->write(Bench::call("/once/x", "held"));
+  auto connection = bench.connect();
+  connection->write(Bench::call("/once/x", "held"));
   asked_for.get_future().wait();
-  std::thread stopping([&] { bench.relay().stop(Span{5000}); });
+  std::thread stopping([&] { bench.relay().stop(Duration{5000}); });
   go.set_value();
-  EXPECT_EQ(read_answer(*link).code, 200);
+  EXPECT_EQ(read_response(*connection).code, 200);
   stopping.join();
   EXPECT_EQ(bench.relay().in_hand(), 0u);
 }
 
 TEST(RoutedRelay, StoppingBreaksOffWhatDoesNotEnd) {
   std::promise<void> asked_for;
-  ScriptedRunner runner([&](RawLink& link, const RawMessage& asked) {
-    link.write(stream_head(asked) + chunk(event(1)));
+  ScriptedRunner runner([&](RawConnection& connection, const RawMessage& asked) {
+    connection.write(stream_head(asked) + chunk(event(1)));
     asked_for.set_value();
-    return !link.is_closed_by_other();
+    return !connection.is_closed_by_other();
   });
   Bench bench({runner.place()});
-  auto link = bench.connect();
-  link->write(Bench::call("/stream/x"));
+  auto connection = bench.connect();
+  connection->write(Bench::call("/stream/x"));
   asked_for.get_future().wait();
-  EXPECT_NE(link->read_to(event(1)), "");
-  bench.relay().stop(Span{50});
-  EXPECT_EQ(link->read_all().find("0\r\n\r\n"), std::string::npos);
+  EXPECT_NE(connection->read_to(event(1)), "");
+  bench.relay().stop(Duration{50});
+  EXPECT_EQ(connection->read_all().find("0\r\n\r\n"), std::string::npos);
 }
 
 TEST(RoutedRelay, StoppingPromisesNothingOfACallThatIsAtARunner) {
   std::promise<void> asked_for;
-  ScriptedRunner runner([&](RawLink& link, const RawMessage&) {
+  ScriptedRunner runner([&](RawConnection& connection, const RawMessage&) {
     asked_for.set_value();
-    return !link.is_closed_by_other();
+    return !connection.is_closed_by_other();
   });
   Bench bench({runner.place()});
-  auto link = bench.connect();
-  link->write(Bench::call("/once/x"));
+  auto connection = bench.connect();
+  connection->write(Bench::call("/once/x"));
   asked_for.get_future().wait();
-  bench.relay().stop(Span{50});
-  Told told = read_answer(*link);
+  bench.relay().stop(Duration{50});
+  Told told = read_response(*connection);
   EXPECT_EQ(told.code, 502);
   EXPECT_FALSE(told.message.has("T-Not-Run"));
 }
@@ -910,10 +910,10 @@
 TEST(RoutedRelay, ACallThatArrivesWhileTheDaemonEndsIsRefusedAtOnce) {
   std::promise<void> asked_for;
   std::atomic<int> runs{0};
-  ScriptedRunner runner([&](RawLink& link, const RawMessage&) {
+  ScriptedRunner runner([&](RawConnection& connection, const RawMessage&) {
     if (++runs == 1)
       asked_for.set_value();
-    return !link.is_closed_by_other();
+    return !connection.is_closed_by_other();
   });
   Bench bench({runner.place()});
   auto late = bench.connect();
@@ -923,10 +923,10 @@
   held->write(Bench::call("/once/held", "held"));
   asked_for.get_future().wait();
   auto begun = std::chrono::steady_clock::now();
-  std::thread stopping([&] { bench.relay().stop(Span{50}); });
-  EXPECT_EQ(read_answer(*held).code, 502);
+  std::thread stopping([&] { bench.relay().stop(Duration{50}); });
+  EXPECT_EQ(read_response(*held).code, 502);
   late->write(bytes.substr(bytes.size() - 1));
-  Told told = read_answer(*late);
+  Told told = read_response(*late);
   stopping.join();
   EXPECT_EQ(told.code, 503);
   EXPECT_TRUE(told.message.has("T-Not-Run"));
@@ -940,18 +940,18 @@
 // Another listener in the process keeps the library's server going, which says 404 where a listener is gone; after a
 // 404 a caller does not try again.
 TEST(RoutedRelay, AfterItsEndADaemonStillRefusesOnOpenLinks) {
-  ScriptedRunner runner([&](RawLink& link, const RawMessage& asked) {
-    link.write(answer(asked, "{}"));
+  ScriptedRunner runner([&](RawConnection& connection, const RawMessage& asked) {
+    connection.write(answer(asked, "{}"));
     return true;
   });
   Bench other({runner.place()});
   Bench bench({runner.place()});
-  auto link = bench.connect();
-  link->write(Bench::call("/once/x", "call-1"));
-  EXPECT_EQ(read_answer(*link).code, 200);
-  bench.relay().stop(Span{0});
-  link->write(Bench::call("/once/x", "call-2"));
-  Told told = read_answer(*link);
+  auto connection = bench.connect();
+  connection->write(Bench::call("/once/x", "call-1"));
+  EXPECT_EQ(read_response(*connection).code, 200);
+  bench.relay().stop(Duration{0});
+  connection->write(Bench::call("/once/x", "call-2"));
+  Told told = read_response(*connection);
   EXPECT_EQ(told.code, 503);
   EXPECT_TRUE(told.message.has("T-Not-Run"));
   EXPECT_EQ(told.message.header("Connection"), "close");
@@ -959,15 +959,15 @@
 
 TEST(RoutedRelay, LinksToRunnersSendAtOnceAndGiveUpSilentMachines) {
   std::promise<void> asked_for, go;
-  ScriptedRunner runner([&](RawLink& link, const RawMessage& asked) {
+  ScriptedRunner runner([&](RawConnection& connection, const RawMessage& asked) {
     asked_for.set_value();
     go.get_future().wait();
-    link.write(answer(asked, "{}"));
+    connection.write(answer(asked, "{}"));
     return true;
   });
   Bench bench({runner.place()});
-  auto link = bench.connect();
-  link->write(Bench::call("/once/x"));
+  auto connection = bench.connect();
+  connection->write(Bench::call("/once/x"));
   asked_for.get_future().wait();
   int found = 0, no_delay = 0, silent_ms = 0;
   for (int file = 3; file < 200; ++file) {
@@ -984,7 +984,7 @@
   EXPECT_EQ(found, 1);
   EXPECT_EQ(no_delay, 1);
   EXPECT_EQ(silent_ms, 3000);
-  EXPECT_EQ(read_answer(*link).code, 200);
+  EXPECT_EQ(read_response(*connection).code, 200);
 }
 
 // --- small readers -----------------------------------------------------------------------------------
@@ -997,13 +997,13 @@
   EXPECT_EQ(parts[1].id, 255u);
   EXPECT_TRUE(read_prompt("").empty());
   EXPECT_TRUE(read_prompt("11112222333344445:1").empty());
-  EXPECT_EQ((read_numbers<3>("1, 2,3,4")), (std::array<Integer, 3>{1, 2, 3}));
-  EXPECT_EQ((read_numbers<2>("-1,x")), (std::array<Integer, 2>{0, 0}));
+  EXPECT_EQ((read_numbers<3>("1, 2,3,4")), (std::array<std::int64_t, 3>{1, 2, 3}));
+  EXPECT_EQ((read_numbers<2>("-1,x")), (std::array<std::int64_t, 2>{0, 0}));
   EXPECT_EQ(read_deadline(" 250 ")->value, 250);
   for (const std::string text : {"", "0", "-5", "1e3", "99999999999999999999", "5ms"})
     EXPECT_FALSE(read_deadline(text)) << text;
-  EXPECT_EQ(retry_after_text(Span{250}), "0.250");
-  EXPECT_EQ(retry_after_text(Span{12005}), "12.005");
+  EXPECT_EQ(retry_after_text(Duration{250}), "0.250");
+  EXPECT_EQ(retry_after_text(Duration{12005}), "12.005");
 }
 
 RC_GTEST_PROP(RoutedRelayReaders, NoTextIsThrownAt, (const std::string& text)) {
--- a/packages/data-plane/tests/support/call_ledger.cpp
+++ b/packages/data-plane/tests/support/call_ledger.cpp
@@ -24,7 +24,7 @@
       return "answer_then_garbage";
     case RunnerAct::refuse_full:
       return "refuse_full";
-    case RunnerAct::refuse_wrong_life:
+    case RunnerAct::refuse_wrong_incarnation:
       return "refuse_wrong_life";
     case RunnerAct::own_failure:
       return "own_failure";
@@ -76,7 +76,7 @@
 
 bool is_silent(RunnerAct act) { return act == RunnerAct::silence || act == RunnerAct::silence_then_answer; }
 
-bool is_refusal(RunnerAct act) { return act == RunnerAct::refuse_full || act == RunnerAct::refuse_wrong_life; }
+bool is_refusal(RunnerAct act) { return act == RunnerAct::refuse_full || act == RunnerAct::refuse_wrong_incarnation; }
 
 bool is_whole_answer(RunnerAct act) { return act <= RunnerAct::answer_then_garbage; }
 
@@ -104,7 +104,7 @@
 
 std::string seal_text(const std::string& call_id, int run) { return "seal-" + call_id + "-" + std::to_string(run); }
 
-std::string answer_body(const std::string& call_id, int run) {
+std::string response_body(const std::string& call_id, int run) {
   std::string body = "answer to " + call_id + " by run " + std::to_string(run) + ":";
   return body.append(static_cast<std::size_t>(run % 50) * 20, 'a');
 }
--- a/packages/data-plane/tests/support/call_ledger.hpp
+++ b/packages/data-plane/tests/support/call_ledger.hpp
@@ -18,13 +18,13 @@
   answer_in_pieces,
   answer_and_close,
   answer_then_half_close,
-  answer_twice,         // the second one in the same write
-  answer_then_late,     // the second one when the connection is idle
-  answer_then_garbage,  // bytes that are no answer, in the same write
-  refuse_full,          // 503 with the mark "not run"
-  refuse_wrong_life,    // 421
-  own_failure,          // 500, after running it
-  unmarked_busy,        // 503 without the mark, after running it
+  answer_twice,              // the second one in the same write
+  answer_then_late,          // the second one when the connection is idle
+  answer_then_garbage,       // bytes that are no answer, in the same write
+  refuse_full,               // 503 with the mark "not run"
+  refuse_wrong_incarnation,  // 421
+  own_failure,               // 500, after running it
+  unmarked_busy,             // 503 without the mark, after running it
   reset_before_head,
   reset_within_head,
   reset_within_body,
@@ -76,7 +76,7 @@
 
 std::string request_body(const std::string& call_id, const CallPlan& plan);
 std::string request_path(const std::string& call_id, const CallPlan& plan);
-std::string answer_body(const std::string& call_id, int run);
+std::string response_body(const std::string& call_id, int run);
 std::string seal_text(const std::string& call_id, int run);
 std::string event_text(const std::string& call_id, int event);
 // Events first..last. Example: events_text("c", 1, 3)
--- a/packages/data-plane/tests/support/faulty_runner.cpp
+++ b/packages/data-plane/tests/support/faulty_runner.cpp
@@ -66,7 +66,7 @@
     return in_chunks("Content-Type: text/event-stream\r\n" + headers, events,
                      std::size_t{7} + static_cast<std::size_t>(plan.cut / 10));
   }
-  std::string body = answer_body(request.call_id, run.number);
+  std::string body = response_body(request.call_id, run.number);
   if (run.act == RunnerAct::answer_chunked)
     return in_chunks(headers, body, 11);
   return with_length("200 OK", headers, body);
@@ -163,10 +163,10 @@
       return socket.write(answer.bytes() + "HTTP/0.1 oh\r\nno \r\n\r\n\r\n");
     case RunnerAct::refuse_full:
       return socket.write(with_length("503 Full", headers + "T-Not-Run: 1\r\n", "full").bytes());
-    case RunnerAct::refuse_wrong_life:
+    case RunnerAct::refuse_wrong_incarnation:
       return socket.write(with_length("421 Other", "T-Call: " + request.call_id + "\r\n", "").bytes());
     case RunnerAct::own_failure:
-      return socket.write(with_length("500 Own", headers, answer_body(request.call_id, run.number)).bytes());
+      return socket.write(with_length("500 Own", headers, response_body(request.call_id, run.number)).bytes());
     case RunnerAct::unmarked_busy:
       return socket.write(with_length("503 Busy", headers, "busy").bytes());
     case RunnerAct::reset_before_head:
--- a/packages/data-plane/tests/support/fuzz_caller.cpp
+++ b/packages/data-plane/tests/support/fuzz_caller.cpp
@@ -71,7 +71,7 @@
 void FuzzCaller::collect() {
   WaitingCall call = waiting_.front();
   waiting_.pop_front();
-  judge(call, read_answer(socket_, answer_limit_ms + (call.plan.has_silence() ? silent_deadline_ms : 0)));
+  judge(call, read_response(socket_, answer_limit_ms + (call.plan.has_silence() ? silent_deadline_ms : 0)));
   if (waiting_.empty())
     expect_nothing_more();
 }
@@ -127,7 +127,7 @@
     return fault(call, answer, "a success that is not whole");
   if (!is_whole_answer(run->act))
     return fault(call, answer, "a success that its runner did not give");
-  if (answer.body != answer_body(call.id, run->number))
+  if (answer.body != response_body(call.id, run->number))
     fault(call, answer, "not the runner's body");
 }
 
@@ -159,7 +159,7 @@
 void FuzzCaller::judge_own_failure(const WaitingCall& call, const SeenAnswer& answer) {
   auto run = sealed_run(ledger_, call, answer);
   if (!run || run->act != RunnerAct::own_failure || !answer.is_whole ||
-      answer.body != answer_body(call.id, run->number))
+      answer.body != response_body(call.id, run->number))
     fault(call, answer, "a failure that its runner did not give");
 }
 
--- a/packages/data-plane/tests/support/http_bytes.cpp
+++ b/packages/data-plane/tests/support/http_bytes.cpp
@@ -43,7 +43,7 @@
   return size + bytes + "\r\n";
 }
 
-SeenAnswer read_answer(RawSocket& socket, int limit_ms) {
+SeenAnswer read_response(RawSocket& socket, int limit_ms) {
   SeenAnswer answer;
   answer.head = socket.read_to("\r\n\r\n", limit_ms);
   if (answer.head.empty()) {
--- a/packages/data-plane/tests/support/http_bytes.hpp
+++ b/packages/data-plane/tests/support/http_bytes.hpp
@@ -19,6 +19,6 @@
   RawSocket::End end = RawSocket::End::none;
 };
 
-SeenAnswer read_answer(RawSocket& socket, int limit_ms);
+SeenAnswer read_response(RawSocket& socket, int limit_ms);
 
 }  // namespace emberdale_test
--- a/packages/data-plane/tests/support/relay_under_test.cpp
+++ b/packages/data-plane/tests/support/relay_under_test.cpp
@@ -12,21 +12,21 @@
 constexpr int runner_count = 64;       // so many that those in trouble don't leave a call without a runner
 constexpr double resend_credit = 1e9;  // the budget never decides here
 
-RelayWords fuzz_words() {
-  RelayWords words;
+RelayHeaderNames fuzz_words() {
+  RelayHeaderNames words;
   words.call_id = "T-Call";
   words.deadline = "T-Horizon";
   words.prompt = "T-Prompt";
   words.tokens = "T-Tokens";
-  words.life_expected = "T-Life-Expected";
-  words.life = "T-Life";
+  words.expected_incarnation = "T-Life-Expected";
+  words.incarnation = "T-Life";
   words.seal = "T-Seal";
   words.not_run = "T-Not-Run";
   return words;
 }
 
-TrafficRoute route_of(const std::string& name, bool is_repeatable, bool is_streaming) {
-  TrafficRoute route;
+Route route_of(const std::string& name, bool is_repeatable, bool is_streaming) {
+  Route route;
   route.name = name;
   route.host = "front.example";
   route.path_prefix = "/" + name + "/";
@@ -41,15 +41,15 @@
   return route;
 }
 
-std::shared_ptr<TrafficView> view_of(std::uint16_t runner_port) {
-  auto view = std::make_shared<TrafficView>();
-  view->has_traffic = true;
+std::shared_ptr<RoutingView> view_of(std::uint16_t runner_port) {
+  auto view = std::make_shared<RoutingView>();
+  view->has_routing_table = true;
   view->routes = {route_of("once", false, false), route_of("again", true, false), route_of("stream", false, true),
                   route_of("resume", true, true)};
   for (int number = 1; number <= runner_count; ++number) {
     RunnerRow row;
     row.name.text = "r" + std::to_string(number);
-    row.http = "127.0.0.1:" + std::to_string(runner_port);
+    row.http_address = "127.0.0.1:" + std::to_string(runner_port);
     row.pool.text = "p";
     row.region.text = "here";
     row.zone.text = "z";
@@ -86,6 +86,6 @@
     throw std::runtime_error(opened.reason);
 }
 
-RelayUnderTest::~RelayUnderTest() { relay_->stop(Span{3000}); }
+RelayUnderTest::~RelayUnderTest() { relay_->stop(Duration{3000}); }
 
 }  // namespace emberdale_test
--- a/packages/fleet-simulator/include/emberdale/fleet_simulation.hpp
+++ b/packages/fleet-simulator/include/emberdale/fleet_simulation.hpp
@@ -14,7 +14,7 @@
 #include "emberdale/control_call_recorder.hpp"
 #include "emberdale/control_daemon.hpp"
 #include "emberdale/data_daemon.hpp"
-#include "emberdale/rule_watch.hpp"
+#include "emberdale/invariant_checker.hpp"
 #include "emberdale/segmented_log.hpp"
 #include "emberdale/simulated_network.hpp"
 #include "emberdale/simulated_runner.hpp"
@@ -41,8 +41,8 @@
 };
 
 // Example:
-//   FleetSimulation fleet(7); fleet.found(); fleet.declare(); fleet.run(Span{5000});
-//   fleet.kill(fleet.master()); fleet.run(Span{10000}); fleet.breaks().empty();
+//   FleetSimulation fleet(7); fleet.found(); fleet.declare(); fleet.run(Duration{5000});
+//   fleet.kill(fleet.master()); fleet.run(Duration{10000}); fleet.breaks().empty();
 class FleetSimulation {
  public:
   explicit FleetSimulation(std::uint64_t seed, SimulationShape shape = {});
@@ -50,10 +50,10 @@
 
   std::int64_t now() const { return now_; }
   RandomGenerator& random() { return random_; }
-  void run(Span span);
+  void run(Duration span);
   // Runs until the question is answered yes, or the span is over. Example: fleet.run_until([&] { return
-  // !fleet.master().empty(); }, Span{9000})
-  bool run_until(const std::function<bool()>& question, Span span);
+  // !fleet.master().empty(); }, Duration{9000})
+  bool run_until(const std::function<bool()>& question, Duration span);
   void later(std::int64_t ms, std::function<void()> act);
 
   // Founds the register and waits for a master; then declares runners and plans.
@@ -72,7 +72,7 @@
   std::size_t held_while_frozen(const std::string& name) const { return node(name).while_frozen.size(); }
   void cut(const std::string& from, const std::string& to) { network_.cut(from, to); }  // one way
   void cut_both(const std::string& one, const std::string& other);
-  void mend_both(const std::string& one, const std::string& other);
+  void repair_both(const std::string& one, const std::string& other);
   void isolate(const std::string& name);
   void heal() { network_.heal(); }  // all cuts
   SimulatedNetwork& network() { return network_; }
@@ -96,21 +96,21 @@
   // --- operators ----------------------------------------------------------------------------------
   struct EditOutcome {
     bool is_over = false;
-    Integer code = 0, version = 0;
+    std::int64_t code = 0, version = 0;
     std::string body;
     std::int64_t asked_at = 0, over_at = 0;
-    RuleWatch::Ask ask;
+    InvariantChecker::Ask ask;
     std::size_t recorded_call = 0;  // its place among operators_calls()
   };
   std::shared_ptr<EditOutcome> edit(const std::string& at, const std::string& act, const std::string& kind,
-                                    const std::string& name, const std::string& body, Integer expected = -1);
+                                    const std::string& name, const std::string& body, std::int64_t expected = -1);
   // The same, tried at live daemons in turn until acknowledged. Example: fleet.edit_until_done("put", "zone-orders",
-  // "b", body, Span{8000})
+  // "b", body, Duration{8000})
   bool edit_until_done(const std::string& act, const std::string& kind, const std::string& name,
-                       const std::string& body, Span span);
+                       const std::string& body, Duration span);
   std::shared_ptr<EditOutcome> replace_core(const std::string& at, const std::string& old_name,
                                             const std::string& new_name);
-  // A read through that daemon; what it shows is judged. Example: fleet.read("c1"); fleet.run(Span{2000});
+  // A read through that daemon; what it shows is judged. Example: fleet.read("c1"); fleet.run(Duration{2000});
   std::shared_ptr<FleetState> read(const std::string& at);
   // What the register holds and every data daemon follows is compared with all that was acknowledged.
   bool compare_holdings();
@@ -125,19 +125,20 @@
   const CallDispatcher* dispatcher(const std::string& name);
   Address address(const std::string& name) const;
   std::string zone(const std::string& name) const { return node(name).zone; }
-  Moment moment(const std::string& name) const { return clock(node(name)); }  // by its own clock
+  TimePoint moment(const std::string& name) const { return clock(node(name)); }  // by its own clock
   std::vector<std::string> runner_names() const;
   const SimulatedRunner& runner(const std::string& name) const { return runners_.at(name); }
   std::int64_t serving_daemons();  // data daemons with a grant
   const CallTally& tally() const { return tally_; }
   void reset_tally() { tally_ = {}; }
-  const std::vector<SimulationBreak>& breaks() const { return watch_.breaks(); }
-  RuleWatch& watch() { return watch_; }
+  const std::vector<InvariantViolation>& breaks() const { return watch_.breaks(); }
+  InvariantChecker& watch() { return watch_; }
   // Every operator's call and read so far. Example: history::check_history(fleet.operators_calls())
   const std::vector<history::Operation>& operators_calls() const { return recorder_.operations(); }
   struct Figures {
-    std::int64_t messages = 0, sends = 0, retries = 0, cold_peak_over = 0, refused_by_runner = 0, worst_old_plan_ms = 0,
-                 worst_leaving_ms = 0, worst_told_ms = 0, maps_published = 0, register_rounds = 0;
+    std::int64_t messages = 0, sends = 0, retries = 0, warmup_peak_over = 0, refused_by_runner = 0,
+                 worst_old_plan_ms = 0, worst_leaving_ms = 0, worst_notification_ms = 0, maps_published = 0,
+                 register_rounds = 0;
     std::map<std::string, std::int64_t> messages_to;
   };
   Figures figures();
@@ -169,7 +170,7 @@
     std::int64_t rate = 1000;  // ...and runs at this rate since then
     std::int64_t rate_since = 0;
     std::int64_t wall_offset = 0;  // seconds
-    Integer life = 0;              // goes up with every start: what was meant for an older life is dropped
+    std::int64_t incarnation = 0;  // goes up with every start: what was meant for an older life is dropped
     bool is_up = false, is_frozen = false, is_stopping = false;
     bool has_power = true;  // a machine without power refuses nothing: it is silent
     std::vector<std::function<void()>> while_frozen;
@@ -180,7 +181,7 @@
     std::shared_ptr<MemoryFileSystem> files;
     std::unique_ptr<SegmentedLog> log;
     Disk disk = Disk::good;
-    std::vector<WriteWish> to_write;
+    std::vector<LogWrite> to_write;
     bool is_writing = false;
     int starts = 0;
   };
@@ -195,15 +196,15 @@
   std::string add_daemon(const std::string& zone, const std::string& role);
   void at(std::int64_t when, std::function<void()> act);
   void on_node(const std::string& name, std::function<void(Node&)> act);
-  void tick(const std::string& name, Integer life);
+  void tick(const std::string& name, std::int64_t incarnation);
   void refresh_dispatcher(Node& node);
-  Moment clock(const Node& node) const {
-    return Moment{now_ + node.clock + (now_ - node.rate_since) * (node.rate - 1000) / 1000};
+  TimePoint clock(const Node& node) const {
+    return TimePoint{now_ + node.clock + (now_ - node.rate_since) * (node.rate - 1000) / 1000};
   }
   void make_control(Node& node);
   void flush(Node& node);
-  void probe(Node& node, const ProbeWish& wish);
-  void refuse_link(const std::string& from, const std::string& name);
+  void probe(Node& node, const ProbeRequest& probe);
+  void refuse_connection(const std::string& from, const std::string& name);
   void deliver(const std::string& from, const Address& to, Message message);
   void start_writing(Node& node);
   void check_node(Node& node);
@@ -215,7 +216,7 @@
   void end_finally(const FinalAct& act);
   bool has_room(const CallRecord& call) const;
   void end_read(const std::string& where, std::int64_t begun, const FleetState& state);
-  void end_edit(const std::shared_ptr<EditOutcome>& outcome, const EditAnswer& answer);
+  void end_edit(const std::shared_ptr<EditOutcome>& outcome, const EditResponse& response);
   Node& node(const std::string& name) { return *nodes_.at(name); }
   const Node& node(const std::string& name) const { return *nodes_.at(name); }
 
@@ -225,7 +226,7 @@
   std::int64_t now_ = 0, last_event_ = 0;
   std::priority_queue<Event> events_;
   SimulatedNetwork network_;
-  RuleWatch watch_;
+  InvariantChecker watch_;
   history::ControlCallRecorder recorder_{history::ControlCallRecorder::ZoneOrderModel::versions};
   CallerCrowd crowd_;
   std::map<std::string, std::unique_ptr<Node>> nodes_;
@@ -241,26 +242,26 @@
 };
 
 // A random day by one seed: faults, edits and calls for `length`, then peace; all breaks of the rules.
-// Example: run_chaos(17, Span{30000}).breaks.empty()
-struct ChaosResult {
-  std::vector<SimulationBreak> breaks;
+// Example: run_fault_injection(17, Duration{30000}).breaks.empty()
+struct FaultInjectionResult {
+  std::vector<InvariantViolation> breaks;
   CallTally tally;
   std::int64_t acked = 0, refused = 0, unknown = 0;
   std::string story;                          // what failed when, to read after a break
   std::map<std::string, std::int64_t> bites;  // how often each fault was seen to have an effect
   std::map<std::string, std::int64_t> tried;  // how often it was brought about
 };
-ChaosResult run_chaos(std::uint64_t seed, Span length, bool is_grant_check_off = false);
+FaultInjectionResult run_fault_injection(std::uint64_t seed, Duration length, bool is_grant_check_off = false);
 
 // A harder day: every fault of the brief, alone and together, crowds, swings, operators at odds, clocks and
 // disks; it ends with one last fault and the machines' return. docs/trials.md lists the faults.
-struct DayPlan {
+struct ScenarioPlan {
   SimulationShape shape;
-  Span length{30000};
+  Duration length{30000};
   std::string only;                             // this fault alone, again and again; empty: all
   std::function<void(FleetSimulation&)> plant;  // takes a guard out, to see the day's oracle catch it
 };
-std::vector<std::string> random_day_faults();
-ChaosResult run_random_day(std::uint64_t seed, const DayPlan& plan);
+std::vector<std::string> random_scenario_faults();
+FaultInjectionResult run_random_scenario(std::uint64_t seed, const ScenarioPlan& plan);
 
 }  // namespace emberdale
--- a/packages/fleet-simulator/include/emberdale/rule_watch.hpp
+++ b/packages/fleet-simulator/include/emberdale/invariant_checker.hpp
@@ -12,7 +12,7 @@
 
 namespace emberdale {
 
-struct SimulationBreak {
+struct InvariantViolation {
   std::int64_t at = 0;
   std::string rule, detail;
 };
@@ -21,14 +21,14 @@
 struct WatchedSend {
   std::int64_t call = 0;
   std::string daemon, runner, runner_region, home;
-  Integer config_revision = 0;  // of the map it was sent by
+  std::int64_t config_revision = 0;  // of the map it was sent by
   bool is_retry = false;
 };
 
 // Example:
-//   RuleWatch watch; watch.told(now, "runners", "m1", true); watch.acknowledged(now, ack);
+//   InvariantChecker watch; watch.told(now, "runners", "m1", true); watch.acknowledged(now, ack);
 //   watch.sent(now, send); watch.ran(now, 7, false); watch.breaks().empty()
-class RuleWatch {
+class InvariantChecker {
  public:
   static constexpr std::int64_t old_plan_limit = 3000, leaving_limit = 5000;
 
@@ -37,14 +37,15 @@
   // A runner began it. Example: watch.ran(now, call, false)
   void ran(std::int64_t now, std::int64_t call, bool is_repeatable);
   void refused(std::int64_t now, std::int64_t call, bool is_repeatable);
-  // A cold runner was asked for more at once than it bears. Example: watch.asked_cold(now, "m1", 3, 2)
-  void asked_cold(std::int64_t now, const std::string& runner, Integer at_once, Integer allowance);
+  // A cold runner was asked for more at once than it bears. Example: watch.asked_while_warming_up(now, "m1", 3, 2)
+  void asked_while_warming_up(std::int64_t now, const std::string& runner, std::int64_t at_once,
+                              std::int64_t allowance);
 
   // --- the register and the map ----------------------------------------------------------------------
   // What a daemon takes for the newest chosen state. Example: watch.saw_state(now, "a1", state, encode_state(state))
   void saw_state(std::int64_t now, const std::string& daemon, const FleetState& state, const std::string& bytes);
   // Whether that daemon has shown this version before. Example: if (watch.is_news("a1", 7)) ...
-  bool is_news(const std::string& daemon, Integer version) const {
+  bool is_news(const std::string& daemon, std::int64_t version) const {
     auto seen = seen_versions_.find(daemon);
     return seen == seen_versions_.end() || seen->second != version;
   }
@@ -69,7 +70,7 @@
   };
   struct Ack {
     Ask ask;
-    Integer version = 0, config_revision = 0;
+    std::int64_t version = 0, config_revision = 0;
   };
   void acknowledged(std::int64_t now, const Ack& ack);
   // Definitely refused: it must never be found in the register. Example: watch.turned_down(now, ask)
@@ -84,28 +85,28 @@
   // After the day: what the register holds, and what each data daemon follows.
   void settled(std::int64_t now, const FleetState& state);
   // Example: watch.holds(now, "a1-data", view->plan_versions, {{RunnerName{"m1"}, "leaving"}}, state)
-  void holds(std::int64_t now, const std::string& daemon, const std::map<PlanName, Integer>& plans,
+  void holds(std::int64_t now, const std::string& daemon, const std::map<PlanName, std::int64_t>& plans,
              const std::map<RunnerName, std::string>& statuses, const FleetState& state);
 
   void broken(std::int64_t now, const std::string& rule, const std::string& detail);
-  const std::vector<SimulationBreak>& breaks() const { return breaks_; }
+  const std::vector<InvariantViolation>& breaks() const { return breaks_; }
   std::int64_t worst_old_plan_ms() const { return worst_old_plan_ms_; }
-  std::int64_t worst_leaving_ms() const { return worst_leaving_ms_; }  // from the acknowledgement
-  std::int64_t worst_told_ms() const { return worst_told_ms_; }        // from the ask
+  std::int64_t worst_leaving_ms() const { return worst_leaving_ms_; }            // from the acknowledgement
+  std::int64_t worst_notification_ms() const { return worst_notification_ms_; }  // from the ask
   // When that runner was last sent anything; 0: never. Example: watch.last_sent("m1")
   std::int64_t last_sent(const std::string& runner) const {
     auto last = last_sent_.find(runner);
     return last == last_sent_.end() ? 0 : last->second;
   }
-  std::int64_t cold_over() const { return cold_over_; }
-  Integer acked_revision() const { return acks_.empty() ? 0 : acks_.back().second; }
+  std::int64_t warmup_excess() const { return warmup_excess_; }
+  std::int64_t acked_revision() const { return acks_.empty() ? 0 : acks_.back().second; }
   std::size_t acked() const { return acked_.size(); }
   std::size_t reads() const { return reads_; }
 
  private:
   struct Hold {
-    Integer config_revision = 0;
-    std::int64_t told_at = 0, acked_at = 0;
+    std::int64_t config_revision = 0;
+    std::int64_t notified_at = 0, acked_at = 0;
   };
   struct CallLedger {
     int runs = 0;
@@ -113,32 +114,32 @@
   };
   void check_retries(std::int64_t now, bool is_retry);
 
-  std::vector<SimulationBreak> breaks_;
+  std::vector<InvariantViolation> breaks_;
   std::map<std::string, int> broken_;  // by rule
   std::map<std::int64_t, CallLedger> calls_;
   std::deque<std::pair<std::int64_t, bool>> window_;  // sends of the last seconds: when, and whether retries
   std::int64_t window_retries_ = 0;
-  std::int64_t cold_over_ = 0;
-  std::map<Integer, std::uint64_t> states_;                    // by state version
-  std::map<std::pair<Integer, Integer>, std::uint64_t> maps_;  // by map version
-  std::map<Integer, std::string> publishers_;                  // by term
-  std::map<std::string, Integer> seen_versions_;
+  std::int64_t warmup_excess_ = 0;
+  std::map<std::int64_t, std::uint64_t> states_;                         // by state version
+  std::map<std::pair<std::int64_t, std::int64_t>, std::uint64_t> maps_;  // by map version
+  std::map<std::int64_t, std::string> publishers_;                       // by term
+  std::map<std::string, std::int64_t> seen_versions_;
   std::map<std::string, MapVersion> seen_maps_;
-  Integer newest_revision_ = -1;
-  std::map<std::string, Integer> free_since_;                       // runner: last revision in which nothing holds it
-  std::map<std::pair<std::string, Integer>, std::string> bodies_;   // resource and version: its text
-  std::map<std::pair<std::string, Integer>, std::string> winners_;  // resource and version: the change
-  std::set<std::string> changes_found_;                             // in the register's list of changes done
+  std::int64_t newest_revision_ = -1;
+  std::map<std::string, std::int64_t> free_since_;  // runner: last revision in which nothing holds it
+  std::map<std::pair<std::string, std::int64_t>, std::string> bodies_;   // resource and version: its text
+  std::map<std::pair<std::string, std::int64_t>, std::string> winners_;  // resource and version: the change
+  std::set<std::string> changes_found_;                                  // in the register's list of changes done
   std::set<std::string> turned_down_;
   std::map<std::string, std::set<std::string>> open_deletions_;  // by resource: asked, and not refused
   std::map<std::string, Ack> acked_;                             // by resource: the newest
-  std::vector<std::pair<std::int64_t, Integer>> acks_;           // when, config revision
+  std::vector<std::pair<std::int64_t, std::int64_t>> acks_;      // when, config revision
   std::map<std::string, Hold> holds_;                            // by runner
   std::map<std::string, std::int64_t> last_sent_;                // by runner
   std::map<std::string, std::set<std::string>> zone_runners_;
-  Integer newest_read_ = 0;                                    // state version, by the reads that have ended
-  std::deque<std::pair<std::int64_t, Integer>> read_history_;  // when it ended, state version
-  std::int64_t worst_old_plan_ms_ = 0, worst_leaving_ms_ = 0, worst_told_ms_ = 0;
+  std::int64_t newest_read_ = 0;                                    // state version, by the reads that have ended
+  std::deque<std::pair<std::int64_t, std::int64_t>> read_history_;  // when it ended, state version
+  std::int64_t worst_old_plan_ms_ = 0, worst_leaving_ms_ = 0, worst_notification_ms_ = 0;
   std::size_t reads_ = 0;
 };
 
--- a/packages/fleet-simulator/include/emberdale/simulated_network.hpp
+++ b/packages/fleet-simulator/include/emberdale/simulated_network.hpp
@@ -21,7 +21,7 @@
 
   // One way. Example: network.cut("a1", "b0"); network.is_cut("b0", "a1") == false
   void cut(const std::string& from, const std::string& to) { cuts_.insert({from, to}); }
-  void mend(const std::string& from, const std::string& to) { cuts_.erase({from, to}); }
+  void repair(const std::string& from, const std::string& to) { cuts_.erase({from, to}); }
   void heal() { cuts_.clear(); }
   bool is_cut(const std::string& from, const std::string& to) const { return cuts_.count({from, to}) != 0; }
 
--- a/packages/fleet-simulator/include/emberdale/simulated_runner.hpp
+++ b/packages/fleet-simulator/include/emberdale/simulated_runner.hpp
@@ -12,16 +12,17 @@
 struct SimulatedRunner {
   std::string name, zone, region, pool;
   bool is_up = true, is_hung = false;  // hung: it takes links and calls, and never answers again
-  Integer incarnation = 1, running = 0, capacity = 8, allowance = 2;
+  std::int64_t incarnation = 1, running = 0, capacity = 8, allowance = 2;
   std::int64_t started = -100000, warming_ms = 3000;
-  Integer life = 0;  // what was begun in an older life never ends
+  // Counts ends of the process: work of an earlier generation never finishes.
+  std::int64_t work_generation = 0;
 
-  bool is_cold(std::int64_t now) const { return now - started < warming_ms; }
+  bool is_warming_up(std::int64_t now) const { return now - started < warming_ms; }
   // Empty: it has begun the call; else why not. Example: runner.take(now, 3, true) == "incarnation"
-  std::string take(std::int64_t now, Integer meant_for, bool checks_incarnation) {
+  std::string take(std::int64_t now, std::int64_t meant_for, bool checks_incarnation) {
     if (checks_incarnation && meant_for != incarnation)
       return "incarnation";
-    if (running >= (is_cold(now) ? allowance : capacity))
+    if (running >= (is_warming_up(now) ? allowance : capacity))
       return "full";
     ++running;
     return "";
@@ -30,7 +31,7 @@
   void kill() {
     is_up = is_hung = false;
     running = 0;
-    ++life;
+    ++work_generation;
   }
   void start(std::int64_t now) {
     if (is_up)
--- a/packages/fleet-simulator/src/chaos.cpp
+++ b/packages/fleet-simulator/src/fault_injection.cpp
@@ -16,8 +16,8 @@
 
 }  // namespace
 
-ChaosResult run_chaos(std::uint64_t seed, Span length, bool is_grant_check_off) {
-  ChaosResult result;
+FaultInjectionResult run_fault_injection(std::uint64_t seed, Duration length, bool is_grant_check_off) {
+  FaultInjectionResult result;
   std::ostringstream story;
   SimulationShape shape;
   shape.calls_per_second = 30;
@@ -150,17 +150,17 @@
       }
       case 12: {
         std::string zone = pick({"a", "b", "c"});
-        bool is_emptied = random.chance(0.4);
-        note("zone " + zone + (is_emptied ? " emptied" : " serving"));
+        bool is_evacuated = random.chance(0.4);
+        note("zone " + zone + (is_evacuated ? " emptied" : " serving"));
         edits.push_back(fleet.edit(pick(cores), "put", orders_kind, zone,
-                                   is_emptied ? R"({"state":"emptied"})" : R"({"state":"serving"})"));
+                                   is_evacuated ? R"({"state":"emptied"})" : R"({"state":"serving"})"));
         break;
       }
       case 13:
       case 14:
       case 15: {  // two operators at once, on the version both have seen
         std::string one = pick(edges), other = pick(edges);
-        Integer version = 1;
+        std::int64_t version = 1;
         if (auto* control = fleet.control(one))
           for (const auto& resource : control->proposer().state().resources)
             if (resource.kind == plans_kind && resource.name == "check")
@@ -176,7 +176,7 @@
         fleet.later(hold, [&fleet] { fleet.set_loss(0); });
         break;
     }
-    fleet.run(Span{100 + random.below(1800)});
+    fleet.run(Duration{100 + random.below(1800)});
     if (!wiped.empty() && fleet.is_running(wiped) && fleet.control(wiped) != nullptr) {
       // Whole again once the register names the new store.
       const auto* acceptor = fleet.control(wiped)->acceptor();
@@ -189,7 +189,7 @@
   }
   // Peace: everything comes back, and the fleet must serve and take edits again.
   story << fleet.now() << " peace\n";
-  fleet.run(Span{4000});
+  fleet.run(Duration{4000});
   fleet.heal();
   fleet.set_loss(0);
   for (const auto& core : cores)
@@ -203,19 +203,19 @@
     fleet.start_runner(runner);
   bool is_serving = fleet.run_until(
       [&] { return !fleet.master().empty() && fleet.serving_daemons() == static_cast<std::int64_t>(datas.size()); },
-      Span{12000});
+      Duration{12000});
   if (!is_serving)
     fail("service did not return within 12 s of peace");
   for (const std::string zone : {"a", "b", "c"})
-    if (!fleet.edit_until_done("put", orders_kind, zone, R"({"state":"serving"})", Span{20000})) {
+    if (!fleet.edit_until_done("put", orders_kind, zone, R"({"state":"serving"})", Duration{20000})) {
       fail("no edit was taken after peace");
       break;
     }
   for (const auto& runner : runners)
-    fleet.edit_until_done("patch", runners_kind, runner, R"({"leaving":false})", Span{20000});
-  fleet.run(Span{4000});
+    fleet.edit_until_done("patch", runners_kind, runner, R"({"leaving":false})", Duration{20000});
+  fleet.run(Duration{4000});
   fleet.reset_tally();
-  fleet.run(Span{3000});
+  fleet.run(Duration{3000});
   result.tally = fleet.tally();
   if (result.tally.served * 10 < result.tally.asked * 8)
     fail("calls are not served after peace: " + std::to_string(result.tally.served) + " of " +
@@ -237,7 +237,8 @@
         {fleet.now(), "too many retries", std::to_string(figures.retries) + " of " + std::to_string(figures.sends)});
   story << "acked " << result.acked << " refused " << result.refused << " unknown " << result.unknown
         << " worst old plan " << figures.worst_old_plan_ms << " worst leaving " << figures.worst_leaving_ms
-        << " cold over " << figures.cold_peak_over << " retries " << figures.retries << " of " << figures.sends << "\n";
+        << " cold over " << figures.warmup_peak_over << " retries " << figures.retries << " of " << figures.sends
+        << "\n";
   result.story = story.str();
   return result;
 }
--- a/packages/fleet-simulator/src/fleet_simulation.cpp
+++ b/packages/fleet-simulator/src/fleet_simulation.cpp
@@ -68,11 +68,11 @@
 }
 void FleetSimulation::later(std::int64_t ms, std::function<void()> act) { at(now_ + ms, std::move(act)); }
 
-void FleetSimulation::run(Span span) {
+void FleetSimulation::run(Duration span) {
   run_until([] { return false; }, span);
 }
 
-bool FleetSimulation::run_until(const std::function<bool()>& question, Span span) {
+bool FleetSimulation::run_until(const std::function<bool()>& question, Duration span) {
   std::int64_t end = now_ + span.value;
   std::int64_t asked_at = -1;
   while (!events_.empty() && events_.top().at <= end) {
@@ -96,10 +96,10 @@
   if (!target.is_up)
     return;
   if (target.is_frozen) {
-    Integer life = target.life;
-    target.while_frozen.push_back([this, name, life, act] {
+    std::int64_t incarnation = target.incarnation;
+    target.while_frozen.push_back([this, name, incarnation, act] {
       Node& woken = node(name);
-      if (woken.is_up && woken.life == life)
+      if (woken.is_up && woken.incarnation == incarnation)
         act(woken);
     });
     return;
@@ -107,9 +107,9 @@
   act(target);
 }
 
-void FleetSimulation::tick(const std::string& name, Integer life) {
+void FleetSimulation::tick(const std::string& name, std::int64_t incarnation) {
   Node& target = node(name);
-  if (!target.is_up || target.life != life)
+  if (!target.is_up || target.incarnation != incarnation)
     return;
   if (!target.is_frozen) {
     if (target.control) {
@@ -124,16 +124,16 @@
     if (target.is_stopping && target.dispatcher && target.dispatcher->in_hand() == 0)
       return kill(name);
   }
-  at(now_ + tick_ms, [this, name, life] { tick(name, life); });
+  at(now_ + tick_ms, [this, name, incarnation] { tick(name, incarnation); });
 }
 
 void FleetSimulation::refresh_dispatcher(Node& target) {
   // Two guards keep an old map from serving: the grant, and leaving homes that are outdated.
   target.data->keeps_outdated_homes = is_grant_check_off;
-  target.dispatcher->set_grant(is_grant_check_off ? Grant{clock(target) + Span{60000}, {}} : target.data->grant());
+  target.dispatcher->set_grant(is_grant_check_off ? Grant{clock(target) + Duration{60000}, {}} : target.data->grant());
   auto view = target.data->view();
   if (is_mark_ignored) {
-    auto misread = std::make_shared<TrafficView>(*view);
+    auto misread = std::make_shared<RoutingView>(*view);
     for (auto& [name, row] : misread->runners)
       if (row.status == "leaving" || row.status == "emptied")
         row.status = "warm";
@@ -166,7 +166,7 @@
   made.control = std::make_unique<ControlDaemon>(settings, std::move(acceptor));
   made.control->on_publish = [this, name = made.name](const PlacementMap& map) {
     ++figures_.maps_published;
-    watch_.published(now_, name, map.version, encode_message(Message{MapNews{map, false}}));
+    watch_.published(now_, name, map.version, encode_message(Message{PlacementUpdate{map, false}}));
   };
 }
 
@@ -175,7 +175,7 @@
   if (made.is_up)
     return;
   ++made.starts;
-  ++made.life;
+  ++made.incarnation;
   made.is_up = made.has_power = true;
   made.is_frozen = made.is_stopping = false;
   made.while_frozen.clear();
@@ -202,8 +202,8 @@
     made.control->start(clock(made));
   }
   flush(made);
-  Integer life = made.life;
-  at(now_ + 1 + random_.below(tick_ms), [this, name, life] { tick(name, life); });
+  std::int64_t incarnation = made.incarnation;
+  at(now_ + 1 + random_.below(tick_ms), [this, name, incarnation] { tick(name, incarnation); });
 }
 
 void FleetSimulation::stop(const std::string& name) {
@@ -212,8 +212,8 @@
     return;
   if (target.dispatcher) {
     target.is_stopping = true;
-    later(8000, [this, name, life = target.life] {  // what hangs is not waited for
-      if (node(name).life == life)
+    later(8000, [this, name, incarnation = target.incarnation] {  // what hangs is not waited for
+      if (node(name).incarnation == incarnation)
         kill(name);
     });
     target.dispatcher->close();
@@ -223,9 +223,9 @@
   }
   target.control->stop(clock(target));
   flush(target);
-  Integer life = target.life;
-  later(300, [this, name, life] {
-    if (node(name).life == life)
+  std::int64_t incarnation = target.incarnation;
+  later(300, [this, name, incarnation] {
+    if (node(name).incarnation == incarnation)
       kill(name);
   });
 }
@@ -235,7 +235,7 @@
   if (!target.is_up)
     return;
   target.is_up = false;
-  ++target.life;
+  ++target.incarnation;
   for (auto& [index, call] : calls_)
     if (call.daemon == name && !call.is_over)
       end_call(index, "no_daemon");
@@ -281,9 +281,9 @@
   cut(other, one);
 }
 
-void FleetSimulation::mend_both(const std::string& one, const std::string& other) {
-  network_.mend(one, other);
-  network_.mend(other, one);
+void FleetSimulation::repair_both(const std::string& one, const std::string& other) {
+  network_.repair(one, other);
+  network_.repair(other, one);
 }
 
 void FleetSimulation::isolate(const std::string& name) {
@@ -315,7 +315,7 @@
     return;
   }
   target.is_writing = true;
-  std::vector<WriteWish> batch = std::exchange(target.to_write, {});
+  std::vector<LogWrite> batch = std::exchange(target.to_write, {});
   if (target.disk != Disk::good)
     disk_bites_ += static_cast<std::int64_t>(batch.size());
   std::vector<std::string> records;
@@ -323,14 +323,14 @@
     records.push_back(write.record);
   std::int64_t last = batch.back().token;
   std::string name = target.name;
-  Integer life = target.life;
+  std::int64_t incarnation = target.incarnation;
   bool is_refused = target.disk == Disk::full || !target.log->append(records);
   if (is_sync_off && !is_refused)
     target.control->synced(last, clock(target));  // answers before it lies on the disk
   std::int64_t wait = (target.disk == Disk::slow ? 250 : shape_.disk_ms) + random_.below(3);
-  at(now_ + wait, [this, name, life, last, is_refused] {
+  at(now_ + wait, [this, name, incarnation, last, is_refused] {
     Node& woken = node(name);
-    if (!woken.is_up || woken.life != life)
+    if (!woken.is_up || woken.incarnation != incarnation)
       return;
     if (is_refused) {
       woken.to_write.clear();  // all of it was thought out on top of the refused write
@@ -366,7 +366,7 @@
   auto shared = std::make_shared<Message>(std::move(message));
   at(now_ + *wait, [this, name, from, sender, shared] {
     if (!node(name).is_up && node(name).has_power)
-      return refuse_link(from, name);
+      return refuse_connection(from, name);
     on_node(name, [this, sender, shared](Node& awake) {
       ++figures_.messages_to[awake.name];
       if (awake.control) {
@@ -381,13 +381,13 @@
 }
 
 // The machine is there and no process listens: it says so at once, unless the way back is cut.
-void FleetSimulation::refuse_link(const std::string& from, const std::string& name) {
+void FleetSimulation::refuse_connection(const std::string& from, const std::string& name) {
   auto wait = network_.travel(name, from, node(from).region == node(name).region, random_);
   if (!wait || node(name).is_up)
     return;
-  at(now_ + *wait, [this, from, life = node(from).life, gone = node(name).address] {
-    on_node(from, [this, life, gone](Node& awake) {
-      if (awake.life != life)
+  at(now_ + *wait, [this, from, incarnation = node(from).incarnation, gone = node(name).address] {
+    on_node(from, [this, incarnation, gone](Node& awake) {
+      if (awake.incarnation != incarnation)
         return;
       if (awake.control)
         awake.control->on_refused(gone, clock(awake));
@@ -401,36 +401,36 @@
 void FleetSimulation::flush(Node& target) {
   std::string name = target.name;
   if (target.control) {
-    for (auto& write : target.control->take_writes())
+    for (auto& write : target.control->drain_writes())
       target.to_write.push_back(std::move(write));
     start_writing(target);
-    for (auto& sending : target.control->take_out())
-      deliver(name, sending.to, std::move(sending.message));
-    for (auto& wish : target.control->take_probes())
-      probe(target, wish);
+    for (auto& message : target.control->drain_outbound())
+      deliver(name, message.to, std::move(message.message));
+    for (auto& request : target.control->drain_probes())
+      probe(target, request);
   } else if (target.data) {
-    for (auto& sending : target.data->take_out())
-      deliver(name, sending.to, std::move(sending.message));
+    for (auto& message : target.data->drain_outbound())
+      deliver(name, message.to, std::move(message.message));
     flush_dispatcher(target);
   }
   check_node(target);
 }
 
-void FleetSimulation::probe(Node& target, const ProbeWish& wish) {
-  auto entry = runners_.find(wish.runner.text);
+void FleetSimulation::probe(Node& target, const ProbeRequest& probe) {
+  auto entry = runners_.find(probe.runner.text);
   if (entry == runners_.end())
     return;
-  bool is_there = entry->second.is_up && !entry->second.is_hung && !network_.is_cut(target.name, wish.runner.text);
+  bool is_there = entry->second.is_up && !entry->second.is_hung && !network_.is_cut(target.name, probe.runner.text);
   at(now_ + (entry->second.is_up ? (is_there ? 4 : 900) : 2),
-     [this, name = target.name, life = target.life, is_there, runner = wish.runner.text] {
-       on_node(name, [this, life, is_there, runner](Node& awake) {
-         if (awake.life != life)
+     [this, name = target.name, incarnation = target.incarnation, is_there, runner = probe.runner.text] {
+       on_node(name, [this, incarnation, is_there, runner](Node& awake) {
+         if (awake.incarnation != incarnation)
            return;
          const SimulatedRunner& probed = runners_.at(runner);
          RunnerStatus status;
          status.name.text = runner;
-         status.answers = is_there && probed.is_up;
-         status.cold = probed.is_cold(now_);
+         status.is_reachable = is_there && probed.is_up;
+         status.is_warming_up = probed.is_warming_up(now_);
          status.incarnation = probed.incarnation;
          status.capacity = probed.capacity;
          status.load = probed.running;
@@ -455,7 +455,7 @@
 
 std::string FleetSimulation::master() {
   std::string best;
-  Integer term = 0;
+  std::int64_t term = 0;
   for (auto& [name, made] : nodes_)
     if (made->control && made->is_up && !made->is_frozen && made->control->election().is_master() &&
         made->control->election().term() > term) {
@@ -498,10 +498,10 @@
 FleetSimulation::Figures FleetSimulation::figures() {
   Figures all = figures_;
   all.messages = network_.sent();
-  all.cold_peak_over = watch_.cold_over();
+  all.warmup_peak_over = watch_.warmup_excess();
   all.worst_old_plan_ms = watch_.worst_old_plan_ms();
   all.worst_leaving_ms = watch_.worst_leaving_ms();
-  all.worst_told_ms = watch_.worst_told_ms();
+  all.worst_notification_ms = watch_.worst_notification_ms();
   for (auto& [name, made] : nodes_) {
     if (made->dispatcher) {
       all.sends += made->dispatcher->counts().sends;
@@ -523,7 +523,7 @@
               std::to_string(made->control->proposer().state().version) + " roster " +
               std::to_string(made->control->proposer().state().roster.size()) + " map " +
               show(made->control->map().version) + " starved " +
-              std::to_string(made->control->election().starved_rounds());
+              std::to_string(made->control->election().rounds_without_quorum());
     if (made->data)
       text += " map " + show(made->data->view()->version) + " floor " + show(made->data->grant().minimum_version) +
               " granted " + (made->dispatcher->is_granted(clock(*made)) ? "yes" : "no");
--- a/packages/fleet-simulator/src/hollow_daemons.cpp
+++ b/packages/fleet-simulator/src/hollow_daemons.cpp
@@ -17,10 +17,10 @@
 namespace emberdale::scale {
 namespace {
 
-Moment steady_now() {
+TimePoint steady_now() {
   timespec time{};
   clock_gettime(CLOCK_BOOTTIME, &time);
-  return Moment{time.tv_sec * 1000 + time.tv_nsec / 1000000};
+  return TimePoint{time.tv_sec * 1000 + time.tv_nsec / 1000000};
 }
 
 double processor_seconds() {
@@ -33,15 +33,15 @@
 class HollowDaemon {
  public:
   HollowDaemon(boost::asio::io_context& context, DaemonEntry self, const std::vector<Address>& seeds)
-      : links_(context, self.address,
-               [this](const Address& from, Message message) {
-                 ++messages_in_;
-                 if (control_)
-                   control_->on_message(from, message, steady_now());
-                 else
-                   data_->on_message(from, message, steady_now());
-                 flush();
-               }),
+      : connections_(context, self.address,
+                     [this](const Address& from, Message message) {
+                       ++messages_in_;
+                       if (control_)
+                         control_->on_message(from, message, steady_now());
+                       else
+                         data_->on_message(from, message, steady_now());
+                       flush();
+                     }),
         timer_(context),
         context_(context),
         self_(self) {
@@ -55,7 +55,7 @@
       settings.random_seed = random;
       control_ = std::make_unique<ControlDaemon>(settings, nullptr);
     }
-    links_.on_refused = [this](const Address& peer) {
+    connections_.on_refused = [this](const Address& peer) {
       if (control_)
         control_->on_refused(peer, steady_now());
       else
@@ -64,7 +64,7 @@
     };
   }
   Outcome<bool> start() {
-    auto listens = links_.listen();
+    auto listens = connections_.listen();
     if (!listens)
       return listens;
     if (control_)
@@ -75,7 +75,7 @@
     tick();
     return true;
   }
-  const LinkCounts& counts() const { return links_.counts(); }
+  const ConnectionCounts& counts() const { return connections_.counts(); }
   std::int64_t messages_in() const { return messages_in_; }
   bool is_granted() const {
     return data_ && steady_now() < data_->grant().until && data_->grant().minimum_version <= data_->view()->version;
@@ -87,12 +87,12 @@
 
  private:
   void flush() {
-    for (auto& sending : control_ ? control_->take_out() : data_->take_out()) {
-      if (sending.to != self_.address) {
-        links_.send(sending.to, sending.message);
+    for (auto& outbound : control_ ? control_->drain_outbound() : data_->drain_outbound()) {
+      if (outbound.to != self_.address) {
+        connections_.send(outbound.to, outbound.message);
         continue;
       }
-      boost::asio::post(context_, [this, message = std::move(sending.message)] {
+      boost::asio::post(context_, [this, message = std::move(outbound.message)] {
         if (control_)
           control_->on_message(self_.address, message, steady_now());
         else
@@ -101,7 +101,7 @@
       });
     }
     if (control_)
-      control_->take_probes();  // hollow daemons probe no runner: the master does it in their place
+      control_->drain_probes();  // hollow daemons probe no runner: the master does it in their place
   }
   void tick() {
     timer_.expires_after(std::chrono::milliseconds(25));
@@ -117,7 +117,7 @@
     });
   }
 
-  PeerConnections links_;
+  PeerConnections connections_;
   boost::asio::steady_timer timer_;
   boost::asio::io_context& context_;
   DaemonEntry self_;
@@ -206,7 +206,7 @@
 
 }  // namespace
 
-int run_hollow(const std::string& fleet, int edges, int gateways, Span window) {
+int run_hollow(const std::string& fleet, int edges, int gateways, Duration window) {
   if (edges + gateways > 400 || window.value > 300000) {
     std::cerr << "emberdale-fleet-simulator: at most 400 hollow daemons for 300 s\n";
     return 2;
@@ -236,10 +236,10 @@
   // A while to join, then the window in which bytes, frames and processor time are told.
   boost::asio::steady_timer settled(context), over(context);
   double processor = 0;
-  LinkCounts before;
+  ConnectionCounts before;
   std::int64_t in_before = 0;
   auto sum = [&] {
-    LinkCounts all;
+    ConnectionCounts all;
     for (const auto& daemon : daemons) {
       all.frames_out += daemon->counts().frames_out;
       all.frames_in += daemon->counts().frames_in;
--- a/packages/fleet-simulator/src/rule_watch.cpp
+++ b/packages/fleet-simulator/src/invariant_checker.cpp
@@ -1,4 +1,4 @@
-#include "emberdale/rule_watch.hpp"
+#include "emberdale/invariant_checker.hpp"
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
@@ -15,14 +15,14 @@
 std::string key_of(const std::string& kind, const std::string& name) { return kind + "/" + name; }
 }  // namespace
 
-void RuleWatch::broken(std::int64_t now, const std::string& rule, const std::string& detail) {
+void InvariantChecker::broken(std::int64_t now, const std::string& rule, const std::string& detail) {
   if (++broken_[rule] <= 8)
     breaks_.push_back({now, rule, detail});  // a flood of one must not hide another
 }
 
 // --- calls -------------------------------------------------------------------------------------------
 
-void RuleWatch::check_retries(std::int64_t now, bool is_retry) {
+void InvariantChecker::check_retries(std::int64_t now, bool is_retry) {
   window_.push_back({now, is_retry});
   window_retries_ += is_retry;
   while (window_.front().first <= now - retry_window) {
@@ -35,7 +35,7 @@
            std::to_string(window_retries_) + " beside " + std::to_string(firsts) + " first sends in 5 s");
 }
 
-void RuleWatch::sent(std::int64_t now, const WatchedSend& send) {
+void InvariantChecker::sent(std::int64_t now, const WatchedSend& send) {
   check_retries(now, send.is_retry);
   // About 3 seconds after an acknowledged change, nothing is sent by an older plan.
   for (auto ack = acks_.rbegin(); ack != acks_.rend() && send.config_revision < ack->second; ++ack) {
@@ -51,10 +51,10 @@
   auto hold = holds_.find(send.runner);
   if (hold != holds_.end() && hold->second.config_revision > free_since_[send.runner]) {
     worst_leaving_ms_ = std::max(worst_leaving_ms_, now - hold->second.acked_at);
-    worst_told_ms_ = std::max(worst_told_ms_, now - hold->second.told_at);
-    if (now - hold->second.told_at > leaving_limit)
+    worst_notification_ms_ = std::max(worst_notification_ms_, now - hold->second.notified_at);
+    if (now - hold->second.notified_at > leaving_limit)
       broken(now, "new work for a leaving runner",
-             send.daemon + " to " + send.runner + " " + std::to_string(now - hold->second.told_at) +
+             send.daemon + " to " + send.runner + " " + std::to_string(now - hold->second.notified_at) +
                  " ms after we were told");
   }
   last_sent_[send.runner] = now;
@@ -62,7 +62,7 @@
     broken(now, "homed work abroad", send.runner + " for home " + send.home);
 }
 
-void RuleWatch::ran(std::int64_t now, std::int64_t call, bool is_repeatable) {
+void InvariantChecker::ran(std::int64_t now, std::int64_t call, bool is_repeatable) {
   CallLedger& ledger = calls_[call];
   ++ledger.runs;
   if (is_repeatable)
@@ -73,25 +73,26 @@
     broken(now, "a call ran after its refusal", std::to_string(call));
 }
 
-void RuleWatch::refused(std::int64_t now, std::int64_t call, bool is_repeatable) {
+void InvariantChecker::refused(std::int64_t now, std::int64_t call, bool is_repeatable) {
   CallLedger& ledger = calls_[call];
   ledger.was_refused = true;
   if (ledger.runs > 0 && !is_repeatable)
     broken(now, "refused after it ran", std::to_string(call));
 }
 
-void RuleWatch::asked_cold(std::int64_t now, const std::string& runner, Integer at_once, Integer allowance) {
+void InvariantChecker::asked_while_warming_up(std::int64_t now, const std::string& runner, std::int64_t at_once,
+                                              std::int64_t allowance) {
   if (at_once <= allowance)
     return;
-  ++cold_over_;
+  ++warmup_excess_;
   broken(now, "a cold runner is flooded",
          runner + " asked for " + std::to_string(at_once) + " at once, bears " + std::to_string(allowance));
 }
 
 // --- the register and the map --------------------------------------------------------------------------
 
-void RuleWatch::saw_state(std::int64_t now, const std::string& daemon, const FleetState& state,
-                          const std::string& bytes) {
+void InvariantChecker::saw_state(std::int64_t now, const std::string& daemon, const FleetState& state,
+                                 const std::string& bytes) {
   auto hash = stable_hash(bytes);
   auto [known, is_new] = states_.insert({state.version, hash});
   if (!is_new && known->second != hash)
@@ -100,10 +101,10 @@
   if (seen != seen_versions_.end() && state.version < seen->second)
     broken(now, "a daemon's state went back", daemon);
   seen_versions_[daemon] = state.version;
-  for (const auto& done : state.done) {
-    changes_found_.insert(done.change);
-    if (turned_down_.count(done.change) != 0)
-      broken(now, "a refused change took effect", done.change);
+  for (const auto& done : state.completed_changes) {
+    changes_found_.insert(done.change_id);
+    if (turned_down_.count(done.change_id) != 0)
+      broken(now, "a refused change took effect", done.change_id);
   }
   if (!is_new || state.config_revision <= newest_revision_)
     return;
@@ -118,7 +119,7 @@
   Configuration configuration = read_configuration(state.resources, findings);
   std::set<ZoneName> emptied;
   for (const auto& order : configuration.orders)
-    if (order.is_emptied)
+    if (order.is_evacuated)
       emptied.insert(order.zone);
   zone_runners_.clear();
   for (const auto& runner : configuration.runners) {
@@ -128,8 +129,8 @@
   }
 }
 
-void RuleWatch::published(std::int64_t now, const std::string& daemon, const MapVersion& version,
-                          const std::string& bytes) {
+void InvariantChecker::published(std::int64_t now, const std::string& daemon, const MapVersion& version,
+                                 const std::string& bytes) {
   auto [publisher, is_new_term] = publishers_.insert({version.term, daemon});
   if (!is_new_term && publisher->second != daemon)
     broken(now, "two publish in one term", show(version) + " by " + publisher->second + " and " + daemon);
@@ -139,7 +140,7 @@
     broken(now, "one map version twice", show(version));
 }
 
-void RuleWatch::follows(std::int64_t now, const std::string& daemon, const MapVersion& version) {
+void InvariantChecker::follows(std::int64_t now, const std::string& daemon, const MapVersion& version) {
   auto [seen, is_new] = seen_maps_.insert({daemon, version});
   if (is_new)
     return;
@@ -150,7 +151,7 @@
 
 // --- operators -------------------------------------------------------------------------------------------
 
-void RuleWatch::acknowledged(std::int64_t now, const Ack& ack) {
+void InvariantChecker::acknowledged(std::int64_t now, const Ack& ack) {
   std::string resource = key_of(ack.ask.kind, ack.ask.name);
   if (ack.ask.act != "delete") {
     auto [winner, is_new] = winners_.insert({{resource, ack.version}, ack.ask.change});
@@ -187,15 +188,15 @@
     if (ack.config_revision <= free_since_[runner] || last == last_sent_.end())
       continue;
     // The rule runs from the ask; what was sent before the answer came is judged now.
-    std::int64_t late = last->second - hold->second.told_at;
-    worst_told_ms_ = std::max(worst_told_ms_, late);
+    std::int64_t late = last->second - hold->second.notified_at;
+    worst_notification_ms_ = std::max(worst_notification_ms_, late);
     if (late > leaving_limit)
       broken(now, "new work for a leaving runner",
              runner + " " + std::to_string(late) + " ms after we were told, before we answered");
   }
 }
 
-void RuleWatch::turned_down(std::int64_t now, const Ask& ask) {
+void InvariantChecker::turned_down(std::int64_t now, const Ask& ask) {
   turned_down_.insert(ask.change);
   open_deletions_[key_of(ask.kind, ask.name)].erase(ask.change);
   if (changes_found_.count(ask.change) != 0)
@@ -204,7 +205,8 @@
 
 // Edits and reads of the register behave as if each happened at one instant: a read shows all that was
 // acknowledged, and all that another read had shown, before it began.
-void RuleWatch::was_read(std::int64_t now, std::int64_t begun, const std::string& daemon, const FleetState& state) {
+void InvariantChecker::was_read(std::int64_t now, std::int64_t begun, const std::string& daemon,
+                                const FleetState& state) {
   ++reads_;
   for (auto ack = acks_.rbegin(); ack != acks_.rend(); ++ack)
     if (ack->first < begun) {
@@ -228,7 +230,7 @@
   read_history_.push_back({now, newest_read_});
 }
 
-void RuleWatch::settled(std::int64_t now, const FleetState& state) {
+void InvariantChecker::settled(std::int64_t now, const FleetState& state) {
   for (const auto& entry : acked_) {
     const auto& [resource, ack] = entry;
     auto found = std::find_if(state.resources.begin(), state.resources.end(),
@@ -256,9 +258,9 @@
   }
 }
 
-void RuleWatch::holds(std::int64_t now, const std::string& daemon, const std::map<PlanName, Integer>& plans,
-                      const std::map<RunnerName, std::string>& statuses, const FleetState& state) {
-  std::map<PlanName, Integer> wanted;
+void InvariantChecker::holds(std::int64_t now, const std::string& daemon, const std::map<PlanName, std::int64_t>& plans,
+                             const std::map<RunnerName, std::string>& statuses, const FleetState& state) {
+  std::map<PlanName, std::int64_t> wanted;
   for (const auto& resource : state.resources)
     if (resource.kind == plans_kind)
       wanted[PlanName{resource.name}] = resource.version;
@@ -268,13 +270,13 @@
   Configuration configuration = read_configuration(state.resources, findings);
   std::set<ZoneName> emptied;
   for (const auto& order : configuration.orders)
-    if (order.is_emptied)
+    if (order.is_evacuated)
       emptied.insert(order.zone);
   for (const auto& runner : configuration.runners) {
     bool is_barred = runner.is_leaving || emptied.count(runner.zone) != 0;
     auto held = statuses.find(runner.name);
-    bool holds_hold = held != statuses.end() && (held->second == "leaving" || held->second == "emptied");
-    if (held == statuses.end() || is_barred != holds_hold)
+    bool has_block = held != statuses.end() && (held->second == "leaving" || held->second == "emptied");
+    if (held == statuses.end() || is_barred != has_block)
       broken(now, "a data daemon holds another mark than the register", daemon + " on " + runner.name.text);
   }
 }
--- a/packages/fleet-simulator/src/main.cpp
+++ b/packages/fleet-simulator/src/main.cpp
@@ -87,7 +87,7 @@
         fleet->isolate(was);
       if (way == "stopped cleanly") {
         fleet->control(was)->stop(fleet->moment(was));
-        fleet->run(Span{30});
+        fleet->run(Duration{30});
         fleet->kill(was);
       }
       return until_new_map(*fleet, was);
@@ -96,7 +96,7 @@
     auto fleet = serving_fleet(seed);
     for (const auto& name : fleet->names("edge"))
       fleet->kill(name);
-    fleet->run(Span{500});
+    fleet->run(Duration{500});
     for (const auto& name : fleet->names("edge"))
       fleet->start(name);
     return until_new_map(*fleet, "");
@@ -119,7 +119,7 @@
       auto fleet = serving_fleet(seed);
       fault(*fleet);
       fleet->reset_tally();
-      fleet->run(Span{10000});
+      fleet->run(Duration{10000});
       return fleet->tally().refused_no_grant * 1000 /
              std::max<std::int64_t>(1, fleet->tally().asked - fleet->tally().no_daemon);
     });
@@ -171,20 +171,20 @@
     for (const std::string what : {"the whole core", "two core machines", "one zone"})
       run(what + " cut off for " + std::to_string(seconds) + " s", [&, what, seconds](std::uint64_t seed) {
         auto fleet = serving_fleet(seed);
-        fleet->run(Span{8000});
+        fleet->run(Duration{8000});
         if (what == "one zone")
           cut_zone(*fleet);
         else
           cut_core(*fleet, what == "the whole core" ? 3 : 2);
         fleet->reset_tally();
-        fleet->run(Span{std::int64_t{1000} * seconds});
+        fleet->run(Duration{std::int64_t{1000} * seconds});
         return fleet->tally().refused_no_grant * 1000 / std::max<std::int64_t>(1, fleet->tally().asked);
       });
   std::cout << "-- from an edit, asked right after the fault, to its acknowledgement, ms\n";
   for (const std::string way : {"killed", "frozen", "isolated", "its zone lost"})
     run("master " + way, [way](std::uint64_t seed) {
       auto fleet = serving_fleet(seed);
-      fleet->run(Span{8000});
+      fleet->run(Duration{8000});
       std::string was = fleet->master();
       if (way == "killed")
         fleet->kill(was);
@@ -197,14 +197,14 @@
           for (const auto& name : fleet->names(role))
             if (name[0] == was[0])
               fleet->power_cut(name);
-      fleet->run(Span{30});
+      fleet->run(Duration{30});
       std::int64_t begun = fleet->now();
       std::string at;
       for (const auto& name : fleet->names("edge"))
         if (name != was && fleet->is_running(name))
           at = name;
       auto outcome = fleet->edit(at, "patch", plans_kind, "check", R"({"horizon_ms":4000})");
-      fleet->run_until([&] { return outcome->is_over; }, Span{45000});
+      fleet->run_until([&] { return outcome->is_over; }, Duration{45000});
       return outcome->code == 200 ? fleet->now() - begun : std::int64_t{-1};
     });
   std::cout
@@ -224,7 +224,7 @@
         fleet->cut_both("a0", "c0");
         fleet->cut_both("b0", "c0");
       }
-      fleet->run(Span{30});
+      fleet->run(Duration{30});
       std::string at;
       for (const auto& name : fleet->names("edge"))
         if (name != was)
@@ -234,7 +234,7 @@
       auto outcome = fleet->edit(at, "patch", runners_kind, "model-a1", R"({"leaving":true})");
       while (fleet->now() - begun < 15000) {
         std::int64_t before = fleet->watch().last_sent("model-a1");
-        fleet->run(Span{25});
+        fleet->run(Duration{25});
         if (fleet->watch().last_sent("model-a1") != before)
           last = fleet->now() - begun;
         if (outcome->is_over && outcome->code != 200)
@@ -246,24 +246,24 @@
   run("edit acknowledged", [](std::uint64_t seed) {
     auto fleet = serving_fleet(seed);
     std::int64_t begun = fleet->now();
-    fleet->edit_until_done("patch", plans_kind, "check", R"({"horizon_ms":4000})", Span{8000});
+    fleet->edit_until_done("patch", plans_kind, "check", R"({"horizon_ms":4000})", Duration{8000});
     return fleet->now() - begun;
   });
   // One data daemon no longer hears the news; then the edit is acknowledged, and it is watched for a while.
   auto edited_while_cut_off = [](std::uint64_t seed, const char* kind, const char* name, const char* patch,
-                                 Span watched) {
+                                 Duration watched) {
     auto fleet = serving_fleet(seed);
     for (const auto& edge : fleet->names("edge"))
       fleet->cut_both("a1-data", edge);
-    fleet->edit_until_done("patch", kind, name, patch, Span{8000});
+    fleet->edit_until_done("patch", kind, name, patch, Duration{8000});
     fleet->run(watched);
     return fleet->figures();
   };
   run("worst old plan, a data daemon cut off from the news", [&](std::uint64_t seed) {
-    return edited_while_cut_off(seed, plans_kind, "check", R"({"horizon_ms":4000})", Span{5000}).worst_old_plan_ms;
+    return edited_while_cut_off(seed, plans_kind, "check", R"({"horizon_ms":4000})", Duration{5000}).worst_old_plan_ms;
   });
   run("worst new work for a leaving runner", [&](std::uint64_t seed) {
-    return edited_while_cut_off(seed, runners_kind, "model-a1", R"({"leaving":true})", Span{7000}).worst_leaving_ms;
+    return edited_while_cut_off(seed, runners_kind, "model-a1", R"({"leaving":true})", Duration{7000}).worst_leaving_ms;
   });
   return 0;
 }
@@ -281,9 +281,9 @@
       return 1;
     }
     auto rounds = fleet.figures().register_rounds;
-    fleet.run(Span{20000});
+    fleet.run(Duration{20000});
     auto before = fleet.figures();
-    fleet.run(Span{10000});
+    fleet.run(Duration{10000});
     auto after = fleet.figures();
     std::int64_t busiest = 0, at_core = 0;
     for (const auto& [name, number] : after.messages_to)
@@ -306,7 +306,7 @@
   auto arguments = docopt::docopt(usage, {words + 1, words + count}, true, "emberdale-fleet-simulator 0.1");
   auto first = static_cast<std::uint64_t>(arguments["--first"].asLong());
   auto seeds = static_cast<std::uint64_t>(arguments["--count"].asLong());
-  Span length{arguments["--seconds"].asLong() * 1000};
+  Duration length{arguments["--seconds"].asLong() * 1000};
   if (arguments["measure"].asBool())
     return measure(first, seeds, arguments["--threads"].asLong());
   if (arguments["hollow"].asBool())
@@ -327,7 +327,7 @@
     std::cerr << "emberdale-fleet-simulator: there is no shape '" << shape << "'\n";
     return 2;
   }
-  DayPlan plan;
+  ScenarioPlan plan;
   plan.length = length;
   plan.shape.calls_per_second = 30;
   if (shape == "caspian")
@@ -337,7 +337,7 @@
   if (arguments["faults"].asBool()) {
     std::cout << "of a thousand calls: turned away with room in reach, turned away, outcome unknown, found no daemon; "
                  "breaks\n";
-    for (const auto& fault : random_day_faults()) {
+    for (const auto& fault : random_scenario_faults()) {
       CallTally sum;
       std::mutex adding;
       std::int64_t breaks = 0;
@@ -346,9 +346,9 @@
       for (long i = 0; i < arguments["--threads"].asLong(); ++i)
         running.emplace_back([&] {
           for (std::uint64_t index = following++; index < seeds; index = following++) {
-            DayPlan alone = plan;
+            ScenarioPlan alone = plan;
             alone.only = fault;
-            ChaosResult result = run_random_day(first + index, alone);
+            FaultInjectionResult result = run_random_scenario(first + index, alone);
             std::lock_guard<std::mutex> guard(adding);
             sum.asked += result.tally.asked;
             sum.avoidable += result.tally.avoidable;
@@ -382,7 +382,8 @@
         std::uint64_t index = next++;
         if (index >= seeds)
           return;
-        ChaosResult result = has_days ? run_random_day(first + index, plan) : run_chaos(first + index, length);
+        FaultInjectionResult result =
+            has_days ? run_random_scenario(first + index, plan) : run_fault_injection(first + index, length);
         std::lock_guard<std::mutex> guard(out);
         for (const auto& [fault, tried] : result.tried)
           faults[fault].first += tried;
--- a/packages/fleet-simulator/src/random_day.cpp
+++ b/packages/fleet-simulator/src/random_scenario.cpp
@@ -20,16 +20,17 @@
     R"({"service":"s","match":{"path":"/homed"},"pool":"models","horizon_ms":4500})"};  // refused: claims another's
                                                                                         // calls
 
-class RandomDay {
+class RandomScenario {
  public:
-  RandomDay(std::uint64_t seed, const DayPlan& plan) : plan_(plan), fleet_(seed, plan.shape), random_(seed * 77 + 5) {}
+  RandomScenario(std::uint64_t seed, const ScenarioPlan& plan)
+      : plan_(plan), fleet_(seed, plan.shape), random_(seed * 77 + 5) {}
 
-  ChaosResult run();
+  FaultInjectionResult run();
 
   struct Fault {
     const char* name;
     int weight;
-    void (RandomDay::*act)();
+    void (RandomScenario::*act)();
   };
   static const std::vector<Fault>& table();
 
@@ -92,7 +93,7 @@
     end_with([this] { return fleet_.network().cut_off(); },
              [this, pairs] {
                for (const auto& [one, other] : pairs)
-                 fleet_.mend_both(one, other);
+                 fleet_.repair_both(one, other);
              });
   }
   // One core machine may be without its disk at a time, and only while the others are sound.
@@ -112,10 +113,10 @@
                        [&](const auto& entry) { return entry.store == control->acceptor()->store(); });
   }
   void edit(const std::string& act, const std::string& kind, const std::string& name, const std::string& body,
-            Integer expected = -1) {
+            std::int64_t expected = -1) {
     edits_.push_back(fleet_.edit(pick_control(), act, kind, name, body, expected));
   }
-  Integer version_seen(const std::string& at, const std::string& kind, const std::string& name) {
+  std::int64_t version_seen(const std::string& at, const std::string& kind, const std::string& name) {
     if (auto* control = fleet_.control(at))
       for (const auto& resource : control->proposer().state().resources)
         if (resource.kind == kind && resource.name == name)
@@ -205,7 +206,7 @@
       fleet_.cut_both(name, runner);
     fleet_.later(hold_, [this, name, some] {
       for (const auto& runner : some)
-        fleet_.mend_both(name, runner);
+        fleet_.repair_both(name, runner);
     });
     bit(!some.empty());
   }
@@ -321,7 +322,7 @@
       fleet_.set_clock_rate(name, 990 + random_.below(21));
     }
   }
-  void runner_cold() {
+  void runner_warming_up() {
     std::string runner = pick(runners_);
     bit(fleet_.runner(runner).is_up);
     fleet_.kill_runner(runner);
@@ -388,7 +389,7 @@
   }
   void rival_edits() {
     std::string one = pick(edges_), other = pick(edges_);
-    Integer version = version_seen(one, plans_kind, "check");
+    std::int64_t version = version_seen(one, plans_kind, "check");
     note("rival edits at version " + std::to_string(version));
     auto first = fleet_.edit(one, "put", plans_kind, "check", check_variants[random_.below(3)], version);
     auto second = fleet_.edit(other, "patch", plans_kind, "check",
@@ -463,10 +464,10 @@
   void after_the_day();
   void judge_operators_calls();
 
-  DayPlan plan_;
+  ScenarioPlan plan_;
   FleetSimulation fleet_;
   RandomGenerator random_;
-  ChaosResult result_;
+  FaultInjectionResult result_;
   std::ostringstream story_;
   std::vector<std::string> edges_, datas_, cores_, runners_, gone_;
   std::vector<std::shared_ptr<FleetSimulation::EditOutcome>> edits_;
@@ -475,8 +476,8 @@
   std::int64_t hold_ = 0;
 };
 
-const std::vector<RandomDay::Fault>& RandomDay::table() {
-  using Day = RandomDay;
+const std::vector<RandomScenario::Fault>& RandomScenario::table() {
+  using Day = RandomScenario;
   static const std::vector<Fault> faults{{"edge daemon killed", 2, &Day::kill_edge},
                                          {"data daemon killed", 2, &Day::kill_data},
                                          {"core daemon killed", 2, &Day::kill_core},
@@ -502,7 +503,7 @@
                                          {"edge daemons back at new addresses", 1, &Day::move_edges},
                                          {"clocks leap", 2, &Day::leap_clocks},
                                          {"clocks fast or slow", 1, &Day::skew_clocks},
-                                         {"runner back cold", 2, &Day::runner_cold},
+                                         {"runner back cold", 2, &Day::runner_warming_up},
                                          {"runner hangs", 2, &Day::runner_hangs},
                                          {"runner flaps", 1, &Day::runner_flaps},
                                          {"runners replaced one by one", 1, &Day::runners_replaced},
@@ -522,7 +523,7 @@
   return faults;
 }
 
-ChaosResult RandomDay::run() {
+FaultInjectionResult RandomScenario::run() {
   fleet_.wall_seconds = 1796173200;
   if (!fleet_.found() || !fleet_.declare()) {
     fail("the fleet did not come up");
@@ -538,7 +539,7 @@
   for (const auto& fault : table())
     weights += fault.weight;
   if (!plan_.only.empty()) {
-    fleet_.run(Span{9000});  // no start any more: what one fault costs a fleet that has settled
+    fleet_.run(Duration{9000});  // no start any more: what one fault costs a fleet that has settled
     fleet_.reset_tally();
   }
   std::int64_t end = fleet_.now() + plan_.length.value;
@@ -548,7 +549,7 @@
       for (const auto& fault : table())
         if (fault.name == plan_.only)
           bring_about(fault);
-      fleet_.run(Span{10000});
+      fleet_.run(Duration{10000});
       look_after_core();
       continue;
     }
@@ -562,7 +563,7 @@
           break;
         }
     }
-    fleet_.run(Span{100 + random_.below(1800)});
+    fleet_.run(Duration{100 + random_.below(1800)});
     look_after_core();
   }
   result_.tally = fleet_.tally();
@@ -581,47 +582,49 @@
   auto figures = fleet_.figures();
   story_ << "acked " << result_.acked << " refused " << result_.refused << " unknown " << result_.unknown
          << " worst old plan " << figures.worst_old_plan_ms << " worst leaving " << figures.worst_leaving_ms
-         << ", from the ask " << figures.worst_told_ms << ", retries " << figures.retries << " of " << figures.sends
-         << ", reads " << fleet_.watch().reads() << "\n";
+         << ", from the ask " << figures.worst_notification_ms << ", retries " << figures.retries << " of "
+         << figures.sends << ", reads " << fleet_.watch().reads() << "\n";
   result_.story = story_.str();
   return std::move(result_);
 }
 
 // What began in the day has ended; then one more fault, and only the machines it took come back.
-void RandomDay::last_fault() {
+void RandomScenario::last_fault() {
   hold_ = 1000 + random_.below(2000);
-  static const std::vector<Fault> last{
-      {"last: total loss", 3, &RandomDay::lose_all},     {"last: zone lost", 2, &RandomDay::lose_zone},
-      {"last: region lost", 1, &RandomDay::lose_region}, {"last: master killed", 2, &RandomDay::kill_master},
-      {"last: many killed", 2, &RandomDay::kill_many},   {"last: core machine wiped", 1, &RandomDay::wipe_core}};
+  static const std::vector<Fault> last{{"last: total loss", 3, &RandomScenario::lose_all},
+                                       {"last: zone lost", 2, &RandomScenario::lose_zone},
+                                       {"last: region lost", 1, &RandomScenario::lose_region},
+                                       {"last: master killed", 2, &RandomScenario::kill_master},
+                                       {"last: many killed", 2, &RandomScenario::kill_many},
+                                       {"last: core machine wiped", 1, &RandomScenario::wipe_core}};
   std::int64_t at = random_.below(11);
   for (const auto& fault : last)
     if ((at -= fault.weight) < 0) {
       bring_about(fault);
       break;
     }
-  fleet_.run(Span{hold_ + 1600});
+  fleet_.run(Duration{hold_ + 1600});
 }
 
-void RandomDay::after_the_day() {
+void RandomScenario::after_the_day() {
   note("the day ends");
-  fleet_.run(Span{13000});  // the longest fault is over; nothing is mended by hand
+  fleet_.run(Duration{13000});  // the longest fault is over; nothing is mended by hand
   look_after_core();
   last_fault();
   std::size_t wanted = datas_.size();
   bool is_serving = fleet_.run_until(
       [&] { return !fleet_.master().empty() && fleet_.serving_daemons() == static_cast<std::int64_t>(wanted); },
-      Span{12000});
+      Duration{12000});
   if (!is_serving)
     return fail("service did not return within 12 s");
   for (const std::string zone : {"a", "b", "c"})
-    if (!fleet_.edit_until_done("put", orders_kind, zone, R"({"state":"serving"})", Span{45000}))
+    if (!fleet_.edit_until_done("put", orders_kind, zone, R"({"state":"serving"})", Duration{45000}))
       return fail("no edit was taken after the day");
   for (const auto& runner : runners_)
-    fleet_.edit_until_done("patch", runners_kind, runner, R"({"leaving":false})", Span{45000});
-  fleet_.run(Span{4000});
+    fleet_.edit_until_done("patch", runners_kind, runner, R"({"leaving":false})", Duration{45000});
+  fleet_.run(Duration{4000});
   fleet_.reset_tally();
-  fleet_.run(Span{3000});
+  fleet_.run(Duration{3000});
   const auto& peace = fleet_.tally();
   std::int64_t turned_away = peace.refused + peace.refused_no_grant + peace.unknown + peace.no_daemon;
   if (turned_away * 50 > peace.asked || peace.served * 2 < peace.asked) {
@@ -636,7 +639,7 @@
 }
 
 // Whether some order of all that operators asked and read explains what they were told.
-void RandomDay::judge_operators_calls() {
+void RandomScenario::judge_operators_calls() {
   history::HistoryVerdict verdict = history::check_history(fleet_.operators_calls());
   if (verdict.verdict == history::Verdict::not_linearizable)
     fail("the operators' calls are not linearizable", history::report(verdict));
@@ -647,15 +650,15 @@
 
 }  // namespace
 
-std::vector<std::string> random_day_faults() {
+std::vector<std::string> random_scenario_faults() {
   std::vector<std::string> names;
-  for (const auto& fault : RandomDay::table())
+  for (const auto& fault : RandomScenario::table())
     names.push_back(fault.name);
   return names;
 }
 
-ChaosResult run_random_day(std::uint64_t seed, const DayPlan& plan) {
-  RandomDay day(seed, plan);
+FaultInjectionResult run_random_scenario(std::uint64_t seed, const ScenarioPlan& plan) {
+  RandomScenario day(seed, plan);
   return day.run();
 }
 
--- a/packages/fleet-simulator/src/scale_delivery.cpp
+++ b/packages/fleet-simulator/src/scale_delivery.cpp
@@ -34,10 +34,10 @@
 
 // The same map for every follower is encoded once here; each send is charged for it, as the links do it.
 ScaleFleet::EncodingCost ScaleFleet::encoding_cost(std::size_t from, const Message& message) {
-  const auto* news = std::get_if<MapNews>(&message);
-  if (news == nullptr)
+  const auto* update = std::get_if<PlacementUpdate>(&message);
+  if (update == nullptr)
     return encode_for_cost(message);
-  auto& known = known_maps_[{daemons_[from].address, news->map.version}];
+  auto& known = known_maps_[{daemons_[from].address, update->map.version}];
   if (known.bytes != 0)
     return known;
   known = encode_for_cost(message);
@@ -68,7 +68,7 @@
   Delivery delivery;
   delivery.from = from;
   delivery.target = target;
-  delivery.sender_life = daemons_[from].life;
+  delivery.sender_incarnation = daemons_[from].incarnation;
   delivery.sender_role = role(from);
   if (target != from) {
     EncodingCost cost = encoding_cost(from, message);
@@ -104,9 +104,9 @@
   if (!daemon.has_power || is_cut(delivery.from, delivery.target))
     return;
   later(travel(delivery.target, delivery.from),
-        [this, from = delivery.from, life = delivery.sender_life, gone = daemon.address] {
+        [this, from = delivery.from, incarnation = delivery.sender_incarnation, gone = daemon.address] {
           Daemon& sender = daemons_[from];
-          if (sender.life != life)
+          if (sender.incarnation != incarnation)
             return;
           if (sender.control)
             sender.control->on_refused(gone, clock(sender));
@@ -143,20 +143,20 @@
   return static_cast<std::int64_t>(ns_a_byte * static_cast<double>(delivery.bytes));
 }
 
-void ScaleFleet::probe(std::size_t index, const ProbeWish& wish) {
-  bool is_there = down_.count(wish.runner.text) == 0;
-  later(is_there ? 4 : 2, [this, index, is_there, runner = wish.runner, life = daemons_[index].life] {
+void ScaleFleet::probe(std::size_t index, const ProbeRequest& probe) {
+  bool is_there = down_.count(probe.runner.text) == 0;
+  later(is_there ? 4 : 2, [this, index, is_there, runner = probe.runner, incarnation = daemons_[index].incarnation] {
     Daemon& daemon = daemons_[index];
-    if (daemon.life != life)
+    if (daemon.incarnation != incarnation)
       return;
     RunnerStatus status;
     status.name = runner;
-    status.answers = is_there;
+    status.is_reachable = is_there;
     status.incarnation = 1;
     status.capacity = 8;
     status.allowance = 2;
     status.load = shape_.is_busy
-                      ? static_cast<Integer>(stable_hash(runner.text, static_cast<std::uint64_t>(now_ / 1000)) % 6)
+                      ? static_cast<std::int64_t>(stable_hash(runner.text, static_cast<std::uint64_t>(now_ / 1000)) % 6)
                       : 0;
     timed(index, message_kinds + 1, [&] { daemon.control->on_probe(status, clock(daemon)); });
     flush(index);
--- a/packages/fleet-simulator/src/scale_fleet.cpp
+++ b/packages/fleet-simulator/src/scale_fleet.cpp
@@ -57,7 +57,7 @@
 
 FleetState ScaleFleet::first_state() const {
   FleetState state;
-  state.fleet = "scale";
+  state.fleet_name = "scale";
   state.version = state.config_revision = 1;
   for (int i = 0; i < shape_.plans; ++i)
     state.resources.push_back(plan_resource(i));
@@ -89,7 +89,7 @@
               R"(","region":")" + region_of(zone).text + R"(","seal_key":"key-)" + runner_name(number) + R"("})"};
 }
 
-Outcome<bool> ScaleFleet::bring_up(Span limit) {
+Outcome<bool> ScaleFleet::bring_up(Duration limit) {
   found();
   sample();
   auto gateways = of_role("data");
@@ -110,7 +110,7 @@
     start(i);
     if (daemons_[i].role != "core")
       continue;
-    daemons_[i].control->on_message(Address{"founder"}, Message{Found{1, daemons_[i].store, Bytes{value}}},
+    daemons_[i].control->on_message(Address{"founder"}, Message{BootstrapRequest{1, daemons_[i].store, Bytes{value}}},
                                     clock(daemons_[i]));
     flush(i);
   }
@@ -130,11 +130,11 @@
   return clock(daemon) < data.grant().until && data.grant().minimum_version <= data.view()->version;
 }
 
-void ScaleFleet::run(Span span) {
+void ScaleFleet::run(Duration span) {
   run_until([] { return false; }, span);
 }
 
-bool ScaleFleet::run_until(const std::function<bool()>& question, Span span) {
+bool ScaleFleet::run_until(const std::function<bool()>& question, Duration span) {
   std::int64_t end = now_ + span.value, asked_at = now_;
   while (!events_.empty() && events_.top().at <= end) {
     auto act = std::move(const_cast<Event&>(events_.top()).act);
@@ -171,7 +171,7 @@
   return best;
 }
 
-Integer ScaleFleet::term() const { return master() ? daemons_[*master()].control->election().term() : 0; }
+std::int64_t ScaleFleet::term() const { return master() ? daemons_[*master()].control->election().term() : 0; }
 
 int ScaleFleet::role(std::size_t index) const {
   const Daemon& daemon = daemons_[index];
@@ -196,9 +196,9 @@
   if (daemon.is_up)
     return;
   daemon.is_up = daemon.has_power = true;
-  ++daemon.life;
-  DaemonEntry self{daemon.address, "http-" + daemon.name, daemon.role, daemon.zone, daemon.region, daemon.life};
-  std::uint64_t random = seed_ * 1000003 + stable_hash(daemon.name) + static_cast<std::uint64_t>(daemon.life);
+  ++daemon.incarnation;
+  DaemonEntry self{daemon.address, "http-" + daemon.name, daemon.role, daemon.zone, daemon.region, daemon.incarnation};
+  std::uint64_t random = seed_ * 1000003 + stable_hash(daemon.name) + static_cast<std::uint64_t>(daemon.incarnation);
   if (daemon.role == "data") {
     daemon.data = std::make_unique<DataDaemon>(self, seeds_, random);
     daemon.data->start(clock(daemon));
@@ -206,7 +206,7 @@
     start_control(daemon, self, random);
   }
   flush(index);
-  later(1 + random_.below(tick_ms), [this, index, life = daemon.life] { tick(index, life); });
+  later(1 + random_.below(tick_ms), [this, index, incarnation = daemon.incarnation] { tick(index, incarnation); });
 }
 
 void ScaleFleet::start_control(Daemon& daemon, const DaemonEntry& self, std::uint64_t random) {
@@ -233,7 +233,7 @@
     return;
   daemon.is_up = false;
   daemon.has_power = !takes_power;
-  ++daemon.life;
+  ++daemon.incarnation;
   if (daemon.role == "core")
     daemon.picture = daemon.control->acceptor()->picture();
   if (daemon.control)
@@ -242,9 +242,9 @@
   daemon.data.reset();
 }
 
-void ScaleFleet::tick(std::size_t index, int life) {
+void ScaleFleet::tick(std::size_t index, int incarnation) {
   Daemon& daemon = daemons_[index];
-  if (daemon.life != life)
+  if (daemon.incarnation != incarnation)
     return;
   timed(index, message_kinds, [&] {
     if (daemon.control)
@@ -253,32 +253,32 @@
       daemon.data->on_timer(clock(daemon));
   });
   flush(index);
-  later(tick_ms, [this, index, life] { tick(index, life); });
+  later(tick_ms, [this, index, incarnation] { tick(index, incarnation); });
 }
 
 void ScaleFleet::flush(std::size_t index) {
   Daemon& daemon = daemons_[index];
   if (daemon.data) {
-    for (auto& sending : daemon.data->take_out())
-      deliver(index, sending.to, std::move(sending.message));
+    for (auto& message : daemon.data->drain_outbound())
+      deliver(index, message.to, std::move(message.message));
     return;
   }
-  auto writes = daemon.control->take_writes();
+  auto writes = daemon.control->drain_writes();
   if (!writes.empty()) {
     for (const auto& write : writes)
       daemon.disk_bytes += static_cast<std::int64_t>(write.record.size());
-    later(sync_ms, [this, index, life = daemon.life, token = writes.back().token] {
+    later(sync_ms, [this, index, incarnation = daemon.incarnation, token = writes.back().token] {
       Daemon& awake = daemons_[index];
-      if (awake.life != life)
+      if (awake.incarnation != incarnation)
         return;
       awake.control->synced(token, clock(awake));
       flush(index);
     });
   }
-  for (auto& sending : daemon.control->take_out())
-    deliver(index, sending.to, std::move(sending.message));
-  for (auto& wish : daemon.control->take_probes())
-    probe(index, wish);
+  for (auto& message : daemon.control->drain_outbound())
+    deliver(index, message.to, std::move(message.message));
+  for (auto& request : daemon.control->drain_probes())
+    probe(index, request);
 }
 
 }  // namespace emberdale::scale
--- a/packages/fleet-simulator/src/scale_measurements.cpp
+++ b/packages/fleet-simulator/src/scale_measurements.cpp
@@ -2,7 +2,10 @@
 #include <malloc.h>
 
 #include <algorithm>
+#include <array>
 #include <string_view>
+#include <utility>
+#include <variant>
 
 #include "emberdale/avro_codec.hpp"
 #include "scale_runs.hpp"
@@ -27,21 +30,23 @@
 }
 
 // The revision that an answer to a change names; 0 if it was not taken.
-Integer acknowledged_revision(const EditAnswer& answer) {
-  auto mark = answer.body.find(revision_field);
-  if (answer.code != 200 || mark == std::string::npos)
+std::int64_t acknowledged_revision(const EditResponse& response) {
+  auto mark = response.body.find(revision_field);
+  if (response.code != 200 || mark == std::string::npos)
     return 0;
-  return std::atoll(answer.body.c_str() + mark + revision_field.size());
+  return std::atoll(response.body.c_str() + mark + revision_field.size());
+}
+
+template <std::size_t... Index>
+std::array<const char*, message_kinds> wire_names(std::index_sequence<Index...>) {
+  return {std::variant_alternative_t<Index, Message>::wire_name...};
 }
 
 }  // namespace
 
 const char* message_name(std::size_t kind) {
-#define EMBERDALE_MESSAGE_NAME(Name) #Name,
-  static const char* const names[] = {EMBERDALE_MESSAGES(EMBERDALE_MESSAGE_NAME) "ViewAnswer"};
-#undef EMBERDALE_MESSAGE_NAME
-  static_assert(std::size(names) == message_kinds);
-  return names[kind];
+  static const std::array<const char*, message_kinds> names = wire_names(std::make_index_sequence<message_kinds>());
+  return names.at(kind);
 }
 
 const char* role_name(int role) {
@@ -74,7 +79,7 @@
 }
 
 void ScaleFleet::sample() {
-  Integer oldest = INT64_MAX;
+  std::int64_t oldest = INT64_MAX;
   for (const auto& daemon : daemons_) {
     if (!daemon.data)
       continue;
@@ -103,24 +108,25 @@
   if (!daemons_[index].is_up)
     return;
   changes_.push_back({now_, 0, 0});
-  EditAsk ask;
-  ask.change = "change-" + std::to_string(now_) + "-" + std::to_string(changes_asked);
-  ask.act = "patch";
-  ask.kind = plans_kind;
-  ask.name = "plan-" + std::to_string(changes_asked % shape_.plans);
-  ask.expected = -1;
-  ask.body = R"({"horizon_ms":)" + std::to_string(4000 + changes_asked % 1000) + "}";
+  EditRequest request;
+  request.change_id = "change-" + std::to_string(now_) + "-" + std::to_string(changes_asked);
+  request.action = "patch";
+  request.kind = plans_kind;
+  request.name = "plan-" + std::to_string(changes_asked % shape_.plans);
+  request.expected_version = -1;
+  request.body = R"({"horizon_ms":)" + std::to_string(4000 + changes_asked % 1000) + "}";
   daemons_[index].control->edit(
-      ask, [this, asked = now_](const EditAnswer& answer) { end_change(asked, answer); }, clock(daemons_[index]));
+      request, [this, asked = now_](const EditResponse& response) { end_change(asked, response); },
+      clock(daemons_[index]));
   flush(index);
 }
 
-void ScaleFleet::end_change(std::int64_t asked, const EditAnswer& answer) {
+void ScaleFleet::end_change(std::int64_t asked, const EditResponse& response) {
   auto entry =
       std::find_if(changes_.begin(), changes_.end(), [&](const Change& change) { return change.asked == asked; });
   if (entry == changes_.end())
     return;
-  Integer revision = acknowledged_revision(answer);
+  std::int64_t revision = acknowledged_revision(response);
   if (revision == 0) {
     ++changes_failed;
     changes_.erase(entry);
@@ -137,7 +143,7 @@
     return sizes;
   const ControlDaemon& control = *daemons_[*leader].control;
   sizes.state = static_cast<std::int64_t>(encode_state(control.proposer().state()).size());
-  sizes.map = static_cast<std::int64_t>(encode_message(Message{MapNews{control.map()}}).size());
+  sizes.map = static_cast<std::int64_t>(encode_message(Message{PlacementUpdate{control.map()}}).size());
   sizes.plans_slice = topic_bytes(control.map(), plans_topic);
   std::set<PoolName> pools;
   for (const auto& runner : control.map().runners)
@@ -152,7 +158,7 @@
 std::int64_t ScaleFleet::weigh(std::size_t index) {
   Daemon& daemon = daemons_[index];
   std::int64_t before = heap_bytes();
-  ++daemon.life;
+  ++daemon.incarnation;
   daemon.is_up = false;
   daemon.control.reset();
   daemon.data.reset();
