--- a/packages/fleet-simulator/src/scale_runs.cpp
+++ b/packages/fleet-simulator/src/scale_runs.cpp
@@ -278,7 +278,7 @@
 
 struct Fault {
   std::string what;
-  std::function<void(ScaleFleet&)> bring, mend;
+  std::function<void(ScaleFleet&)> bring, repair;
 };
 
 std::vector<Fault> faults() {
@@ -290,7 +290,7 @@
     return list;
   };
   static std::size_t gone = 0;
-  auto mend_one = [](ScaleFleet& fleet) {
+  auto repair_one = [](ScaleFleet& fleet) {
     fleet.start(gone);
   };
   auto other_edge = [](ScaleFleet& fleet) {
@@ -310,13 +310,13 @@
        [](ScaleFleet& fleet) {
          fleet.start_runner("runner-100000");
        }},
-      {"data daemon killed", [](ScaleFleet& fleet) { fleet.kill(gone = fleet.of_role("data").front()); }, mend_one},
-      {"edge daemon killed", [other_edge](ScaleFleet& fleet) { fleet.kill(gone = other_edge(fleet)); }, mend_one},
+      {"data daemon killed", [](ScaleFleet& fleet) { fleet.kill(gone = fleet.of_role("data").front()); }, repair_one},
+      {"edge daemon killed", [other_edge](ScaleFleet& fleet) { fleet.kill(gone = other_edge(fleet)); }, repair_one},
       {"edge machine without power", [other_edge](ScaleFleet& fleet) { fleet.kill(gone = other_edge(fleet), true); },
-       mend_one},
-      {"core machine without power", [](ScaleFleet& fleet) { fleet.kill(gone = 0, true); }, mend_one},
-      {"master killed", [](ScaleFleet& fleet) { fleet.kill(gone = *fleet.master()); }, mend_one},
-      {"master without power", [](ScaleFleet& fleet) { fleet.kill(gone = *fleet.master(), true); }, mend_one},
+       repair_one},
+      {"core machine without power", [](ScaleFleet& fleet) { fleet.kill(gone = 0, true); }, repair_one},
+      {"master killed", [](ScaleFleet& fleet) { fleet.kill(gone = *fleet.master()); }, repair_one},
+      {"master without power", [](ScaleFleet& fleet) { fleet.kill(gone = *fleet.master(), true); }, repair_one},
       {"rack (a tenth of the daemons) without power",
        [](ScaleFleet& fleet) {
          for (std::size_t i = 3; i < fleet.daemons().size(); i += 10)
@@ -342,7 +342,7 @@
   };
 }
 
-int run_faults(const Dimension& dimension, const std::vector<int>& sizes, Span window) {
+int run_faults(const Dimension& dimension, const std::vector<int>& sizes, Duration window) {
   Table table;
   for (std::size_t column = 0; column < sizes.size(); ++column) {
     ScaleFleet fleet(1, dimension.shape(sizes[column]));
@@ -351,7 +351,7 @@
       std::cout << sizes[column] << ": " << up.reason << std::endl;
       return 1;
     }
-    fleet.run(Span{8000});
+    fleet.run(Duration{8000});
     double quiet = 0;
     for (const auto& fault : faults()) {
       std::int64_t term = fleet.term();
@@ -361,12 +361,12 @@
       std::int64_t led_again = -1;
       if (fault.what.find("master") == 0 && fleet.run_until([&] { return fleet.term() > term; }, window))
         led_again = fleet.now() - begun;
-      fleet.run(Span{window.value - (fleet.now() - begun)});
+      fleet.run(Duration{window.value - (fleet.now() - begun)});
       double without = fleet.samples == 0 ? 0
                                           : 1000.0 * static_cast<double>(fleet.samples_without_grant) /
                                                 static_cast<double>(fleet.samples);
       auto maps = fleet.maps_published;
-      fault.mend(fleet);
+      fault.repair(fleet);
       fleet.run(window);
       const auto& counts = fleet.counts();
       if (fault.what == "none")
@@ -379,7 +379,7 @@
       if (led_again >= 0)
         table.add(fault.what + ": ms to a new term", column, static_cast<double>(led_again));
       std::cerr << sizes[column] << " " << fault.what << std::endl;
-      fleet.run(Span{10000});
+      fleet.run(Duration{10000});
     }
   }
   std::printf("%s; %lld s of the fault and as long after its end\n", dimension.what.c_str(),
@@ -397,7 +397,7 @@
   return names;
 }
 
-int run_scale(const std::string& name, std::vector<int> sizes, Span window) {
+int run_scale(const std::string& name, std::vector<int> sizes, Duration window) {
   auto list = dimensions();
   auto entry = list.find(name);
   if (entry == list.end()) {
@@ -421,7 +421,7 @@
     loads.add("brought up: virtual ms", column, static_cast<double>(fleet.now()));
     loads.add("brought up: messages", column, static_cast<double>(fleet.counts().messages));
     loads.add("brought up: register rounds", column, static_cast<double>(fleet.counts().register_rounds));
-    fleet.run(std::min(window, Span{5000}));
+    fleet.run(std::min(window, Duration{5000}));
     fleet.reset();
     fleet.run(window);
     const auto& counts = fleet.counts();
--- a/packages/fleet-simulator/src/scale_runs.hpp
+++ b/packages/fleet-simulator/src/scale_runs.hpp
@@ -50,17 +50,17 @@
 
 // Example:
 //   ScaleFleet fleet(1, {}); if (auto up = fleet.bring_up(); !up) return up.reason;
-//   fleet.reset(); fleet.run(Span{10000}); fleet.counts().messages;
+//   fleet.reset(); fleet.run(Duration{10000}); fleet.counts().messages;
 class ScaleFleet {
  public:
   ScaleFleet(std::uint64_t seed, ScaleShape shape);
   // Founds the register, starts every daemon and waits until all data daemons serve.
-  Outcome<bool> bring_up(Span limit = Span{60000});
-  void run(Span span);
-  bool run_until(const std::function<bool()>& question, Span span);
+  Outcome<bool> bring_up(Duration limit = Duration{60000});
+  void run(Duration span);
+  bool run_until(const std::function<bool()>& question, Duration span);
   std::int64_t now() const { return now_; }
 
-  // From here on everything is counted anew. Example: fleet.reset(); fleet.run(Span{10000});
+  // From here on everything is counted anew. Example: fleet.reset(); fleet.run(Duration{10000});
   void reset();
   const ScaleCounts& counts();
 
@@ -71,7 +71,7 @@
     Address address;
     StoreId store;
     std::int64_t clock = 0;
-    int life = 0;
+    int incarnation = 0;
     bool is_up = false, has_power = true;
     std::unique_ptr<ControlDaemon> control;
     std::unique_ptr<DataDaemon> data;
@@ -81,9 +81,9 @@
   const std::vector<Daemon>& daemons() const { return daemons_; }
   std::vector<std::size_t> of_role(const std::string& role) const;
   std::optional<std::size_t> master() const;
-  Integer term() const;
+  std::int64_t term() const;
 
-  // Faults. Example: fleet.kill(3); fleet.run(Span{20000}); fleet.start(3);
+  // Faults. Example: fleet.kill(3); fleet.run(Duration{20000}); fleet.start(3);
   void kill(std::size_t index, bool takes_power = false);
   void start(std::size_t index);
   void cut_region(const RegionName& region) { cut_off_ = region; }
@@ -118,12 +118,12 @@
   };
   struct Change {
     std::int64_t asked = 0, acknowledged = 0;
-    Integer revision = 0;
+    std::int64_t revision = 0;
   };
   // A message on its way.
   struct Delivery {
     std::size_t from = 0, target = 0;
-    int sender_life = 0, sender_role = 0;
+    int sender_incarnation = 0, sender_role = 0;
     std::int64_t bytes = 0;
     std::shared_ptr<const Message> message;
   };
@@ -141,11 +141,11 @@
   bool has_grant(const Daemon& daemon) const;
   void start_control(Daemon& daemon, const DaemonEntry& self, std::uint64_t random);
   void later(std::int64_t ms, std::function<void()> act) { events_.push({now_ + ms, ++last_event_, std::move(act)}); }
-  Moment clock(const Daemon& daemon) const { return Moment{now_ + daemon.clock}; }
+  TimePoint clock(const Daemon& daemon) const { return TimePoint{now_ + daemon.clock}; }
   int role(std::size_t index) const;
   // Runs the act, and charges its time to the daemon and to its role's work of the kind.
   void timed(std::size_t index, std::size_t kind, const std::function<void()>& act);
-  void tick(std::size_t index, int life);
+  void tick(std::size_t index, int incarnation);
   void flush(std::size_t index);
   EncodingCost encoding_cost(std::size_t from, const Message& message);
   void charge_sender(std::size_t from, std::size_t kind, const EncodingCost& cost);
@@ -154,10 +154,10 @@
   void refuse(const Delivery& delivery);
   void charge_receiver(const Delivery& delivery);
   std::int64_t decoding_ns(std::size_t kind, const Delivery& delivery);
-  void probe(std::size_t index, const ProbeWish& wish);
+  void probe(std::size_t index, const ProbeRequest& probe);
   void sample();
   void change();
-  void end_change(std::int64_t asked, const EditAnswer& answer);
+  void end_change(std::int64_t asked, const EditResponse& response);
   bool is_cut(std::size_t one, std::size_t other) const;
   std::int64_t travel(std::size_t from, std::size_t to);
 
@@ -179,12 +179,12 @@
 };
 
 // `emberdale-fleet-simulator scale`: one dimension, its sizes (empty: the page's own); gives the exit status.
-// Example: run_scale("runners", {14, 120}, Span{10000}) prints a table and the fitted slopes
-int run_scale(const std::string& dimension, std::vector<int> sizes, Span window);
+// Example: run_scale("runners", {14, 120}, Duration{10000}) prints a table and the fitted slopes
+int run_scale(const std::string& dimension, std::vector<int> sizes, Duration window);
 std::vector<std::string> scale_dimensions();
 
 // Hollow daemons over real links on loopback, all in this process, that join the fleet of real daemons in a
-// starter's fleet.json. Example: run_hollow("fleet-run/fleet.json", 30, 30, Span{20000})
-int run_hollow(const std::string& fleet, int edges, int gateways, Span window);
+// starter's fleet.json. Example: run_hollow("fleet-run/fleet.json", 30, 30, Duration{20000})
+int run_hollow(const std::string& fleet, int edges, int gateways, Duration window);
 
 }  // namespace emberdale::scale
--- a/packages/fleet-simulator/src/scenarios.hpp
+++ b/packages/fleet-simulator/src/scenarios.hpp
@@ -25,7 +25,7 @@
   auto fleet = std::make_unique<FleetSimulation>(seed, shape);
   if (!fleet->found() || !fleet->declare())
     return nullptr;
-  fleet->run(Span{4000});
+  fleet->run(Duration{4000});
   return fleet;
 }
 
@@ -38,7 +38,7 @@
         return !master.empty() && master != was &&
                fleet.control(master)->map().version.term == fleet.control(master)->election().term();
       },
-      Span{limit});
+      Duration{limit});
   return is_there ? fleet.now() - begun : -1;
 }
 
@@ -50,7 +50,7 @@
       fleet.power_cut(name);
   for (const auto& runner : fleet.runner_names())
     fleet.kill_runner(runner);
-  fleet.run(Span{5000});
+  fleet.run(Duration{5000});
   for (const auto& runner : fleet.runner_names())
     fleet.start_runner(runner);
   for (const char* role : {"core", "data"})
@@ -69,7 +69,7 @@
         return fleet.serving_daemons() == static_cast<std::int64_t>(fleet.names("data").size()) &&
                fleet.tally().served > 0;
       },
-      Span{30000});
+      Duration{30000});
   return fleet.now() - begun;
 }
 
--- a/packages/fleet-simulator/src/simulated_calls.cpp
+++ b/packages/fleet-simulator/src/simulated_calls.cpp
@@ -36,7 +36,7 @@
     arriving.headers["x-home-region"] = is_home_misread ? target.region : call.wish.home;
   on_node(daemon, [this, arriving, index](Node& awake) {
     refresh_dispatcher(awake);
-    if (auto refusal = awake.dispatcher->arrive(arriving, clock(awake), index))
+    if (auto refusal = awake.dispatcher->admit(arriving, clock(awake), index))
       end_finally(*refusal);
     flush_dispatcher(awake);
   });
@@ -50,7 +50,7 @@
     return false;
   return std::any_of(runners_.begin(), runners_.end(), [&](const auto& entry) {
     const SimulatedRunner& runner = entry.second;
-    return runner.pool == pool && runner.is_up && !runner.is_hung && !runner.is_cold(now_) &&
+    return runner.pool == pool && runner.is_up && !runner.is_hung && !runner.is_warming_up(now_) &&
            runner.running * 2 < runner.capacity && runner.region == daemon.region && !watch_.is_barred(runner.name) &&
            !network_.is_cut(daemon.name, runner.name);
   });
@@ -105,17 +105,17 @@
   CallRecord& call = calls_.at(act.call);
   watch_.sent(now_, {act.call, daemon, runner.name, runner.region, call.wish.home, sender.data->view()->config_revision,
                      act.is_retry});
-  Integer life = sender.life;
-  auto finish = [this, daemon, life, act](SendEnd end) {
-    on_node(daemon, [this, daemon, life, act, end](Node& awake) {
-      if (awake.life != life)
+  std::int64_t incarnation = sender.incarnation;
+  auto finish = [this, daemon, incarnation, act](SendEnd end) {
+    on_node(daemon, [this, daemon, incarnation, act, end](Node& awake) {
+      if (awake.incarnation != incarnation)
         return;
       if (end.kind == SendEndKind::answered)
         end_call(act.call, "served");
       if (end.kind == SendEndKind::lost && is_lost_call_resent)
         run_send(daemon, act);
       refresh_dispatcher(awake);
-      awake.dispatcher->end_send(end, clock(awake));
+      awake.dispatcher->on_attempt_finished(end, clock(awake));
       flush_dispatcher(awake);
     });
   };
@@ -130,7 +130,7 @@
     end.incarnation = from.incarnation;
     end.load = from.running;
     end.capacity = from.capacity;
-    end.is_cold = from.is_cold(now_);
+    end.is_warming_up = from.is_warming_up(now_);
     return end;
   };
   auto vanish = [this, deadline, finish, report, runner = act.runner.text] {
@@ -145,29 +145,29 @@
       return vanish();
     if (!target.is_up)
       return finish(report(target, SendEndKind::unsent, "no link"));
-    bool is_cold = target.is_cold(now_);
+    bool is_warming_up = target.is_warming_up(now_);
     std::string refusal = target.take(now_, act.incarnation, !is_incarnation_check_off);
     // What a runner refuses as too much while it is cold was a flood, whether or not it could fend it off.
-    if (is_cold && refusal != "incarnation")
-      watch_.asked_cold(now_, target.name, target.running + (refusal.empty() ? 0 : 1), target.allowance);
+    if (is_warming_up && refusal != "incarnation")
+      watch_.asked_while_warming_up(now_, target.name, target.running + (refusal.empty() ? 0 : 1), target.allowance);
     if (!refusal.empty()) {
       ++figures_.refused_by_runner;
       return finish(report(target, SendEndKind::refused, refusal));
     }
     const CallRecord& record = calls_.at(act.call);
     watch_.ran(now_, act.call, record.wish.is_repeatable);
-    Integer runner_life = target.life;
-    std::int64_t service = record.wish.service_ms * (is_cold ? 2 : 1);
+    std::int64_t work_generation = target.work_generation;
+    std::int64_t service = record.wish.service_ms * (is_warming_up ? 2 : 1);
     if (record.wish.is_streaming)  // its first piece is out: from here on no other runner may go on with it
-      at(now_ + wait + 20, [this, daemon, index = act.call, life = node(daemon).life] {
-        on_node(daemon, [life, index](Node& awake) {
-          if (awake.life == life)
+      at(now_ + wait + 20, [this, daemon, index = act.call, incarnation = node(daemon).incarnation] {
+        on_node(daemon, [incarnation, index](Node& awake) {
+          if (awake.incarnation == incarnation)
             awake.dispatcher->first_piece(index);
         });
       });
-    at(now_ + service, [this, act, wait, deadline, finish, report, vanish, runner_life] {
+    at(now_ + service, [this, act, wait, deadline, finish, report, vanish, work_generation] {
       SimulatedRunner& done = runners_.at(act.runner.text);
-      if (done.life != runner_life) {
+      if (done.work_generation != work_generation) {
         later(wait, [this, act, finish, report] {
           finish(report(runners_.at(act.runner.text), SendEndKind::lost, "link broke"));
         });
--- a/packages/fleet-simulator/src/simulated_operators.cpp
+++ b/packages/fleet-simulator/src/simulated_operators.cpp
@@ -26,7 +26,7 @@
 
 std::shared_ptr<FleetSimulation::EditOutcome> FleetSimulation::edit(const std::string& where, const std::string& act,
                                                                     const std::string& kind, const std::string& name,
-                                                                    const std::string& body, Integer expected) {
+                                                                    const std::string& body, std::int64_t expected) {
   auto outcome = std::make_shared<EditOutcome>();
   outcome->asked_at = now_;
   Node& target = node(where);
@@ -35,47 +35,47 @@
     outcome->code = 503;
     return outcome;
   }
-  EditAsk ask;
-  ask.change = "change-" + std::to_string(++last_change_);
-  ask.act = act;
-  ask.kind = kind;
-  ask.name = name;
-  ask.expected = expected;
-  ask.body = body;
-  outcome->ask = {ask.change, kind, name, act, body, now_};
+  EditRequest request;
+  request.change_id = "change-" + std::to_string(++last_change_);
+  request.action = act;
+  request.kind = kind;
+  request.name = name;
+  request.expected_version = expected;
+  request.body = body;
+  outcome->ask = {request.change_id, kind, name, act, body, now_};
   watch_.asked(outcome->ask);
-  outcome->recorded_call = recorder_.asked("operator", where, ask, now_);
+  outcome->recorded_call = recorder_.asked("operator", where, request, now_);
   if (getenv("DBG"))
-    fprintf(stderr, "%ld ask %s at %s %s/%s %s\n", now_, ask.change.c_str(), where.c_str(), kind.c_str(), name.c_str(),
-            body.substr(0, 40).c_str());
+    fprintf(stderr, "%ld ask %s at %s %s/%s %s\n", now_, request.change_id.c_str(), where.c_str(), kind.c_str(),
+            name.c_str(), body.substr(0, 40).c_str());
   target.control->edit(
-      ask, [this, outcome](const EditAnswer& answer) { end_edit(outcome, answer); }, clock(target));
+      request, [this, outcome](const EditResponse& response) { end_edit(outcome, response); }, clock(target));
   flush(target);
   return outcome;
 }
 
-void FleetSimulation::end_edit(const std::shared_ptr<EditOutcome>& outcome, const EditAnswer& answer) {
+void FleetSimulation::end_edit(const std::shared_ptr<EditOutcome>& outcome, const EditResponse& response) {
   outcome->is_over = true;
   outcome->over_at = now_;
   if (getenv("DBG"))
     fprintf(stderr, "%ld end %s %s/%s asked %ld code %ld %s\n", now_, outcome->ask.change.c_str(),
-            outcome->ask.kind.c_str(), outcome->ask.name.c_str(), outcome->asked_at, answer.code,
-            answer.body.substr(0, 90).c_str());
-  outcome->code = answer.code;
-  outcome->version = answer.version;
-  outcome->body = answer.body;
-  recorder_.answered(outcome->recorded_call, answer, now_);
-  if (answer.code == 200 || answer.code == 201) {
-    auto mark = answer.body.find("\"config_revision\":");
-    Integer revision = mark == std::string::npos ? 0 : std::atoll(answer.body.c_str() + mark + 18);
-    watch_.acknowledged(now_, {outcome->ask, answer.version, revision});
-  } else if (answer.code != 504) {
+            outcome->ask.kind.c_str(), outcome->ask.name.c_str(), outcome->asked_at, response.code,
+            response.body.substr(0, 90).c_str());
+  outcome->code = response.code;
+  outcome->version = response.version;
+  outcome->body = response.body;
+  recorder_.answered(outcome->recorded_call, response, now_);
+  if (response.code == 200 || response.code == 201) {
+    auto mark = response.body.find("\"config_revision\":");
+    std::int64_t revision = mark == std::string::npos ? 0 : std::atoll(response.body.c_str() + mark + 18);
+    watch_.acknowledged(now_, {outcome->ask, response.version, revision});
+  } else if (response.code != 504) {
     watch_.turned_down(now_, outcome->ask);
   }
 }
 
 bool FleetSimulation::edit_until_done(const std::string& act, const std::string& kind, const std::string& name,
-                                      const std::string& body, Span span) {
+                                      const std::string& body, Duration span) {
   std::int64_t end = now_ + span.value;
   while (now_ < end) {
     std::vector<std::string> able;
@@ -87,10 +87,10 @@
     auto outcome = edit(able[static_cast<std::size_t>(random_.below(static_cast<std::int64_t>(able.size())))], act,
                         kind, name, body);
     run_until([&] { return outcome->is_over; },
-              Span{std::max<std::int64_t>(1, std::min<std::int64_t>(18000, end - now_))});
+              Duration{std::max<std::int64_t>(1, std::min<std::int64_t>(18000, end - now_))});
     if (outcome->code == 200 || outcome->code == 201)
       return true;
-    run(Span{100});
+    run(Duration{100});
   }
   return false;
 }
@@ -150,7 +150,7 @@
     for (const auto& name : names("edge"))
       if (is_running(name)) {
         state = read(name);
-        run(Span{1500});
+        run(Duration{1500});
         if (state->version != 0)
           break;
       }
@@ -165,7 +165,7 @@
             return false;
         return true;
       },
-      Span{3000});
+      Duration{3000});
   watch_.settled(now_, *state);
   for (const auto& name : names("data")) {
     if (!is_running(name) || data(name)->view()->config_revision > state->config_revision)
@@ -179,28 +179,28 @@
 }
 
 bool FleetSimulation::found() {
-  run(Span{500});
+  run(Duration{500});
   Node& first = node("a0");
   int code = 0;
   first.control->found(
       "simulated", {node("a0").address, node("b0").address, node("c0").address},
       [&](int answer, const std::string&) { code = answer; }, clock(first));
   flush(first);
-  if (!run_until([&] { return code != 0; }, Span{5000}) || code != 201)
+  if (!run_until([&] { return code != 0; }, Duration{5000}) || code != 201)
     return false;
-  return run_until([&] { return !master().empty(); }, Span{15000});
+  return run_until([&] { return !master().empty(); }, Duration{15000});
 }
 
 bool FleetSimulation::declare() {
   int port = 20000;
   for (const auto& [name, runner] : runners_)
-    if (!edit_until_done("put", runners_kind, name, runner_body(runner, ++port), Span{10000}))
+    if (!edit_until_done("put", runners_kind, name, runner_body(runner, ++port), Duration{10000}))
       return false;
   for (const auto& [name, body] : first_plans)
-    if (!edit_until_done("put", plans_kind, name, body, Span{10000}))
+    if (!edit_until_done("put", plans_kind, name, body, Duration{10000}))
       return false;
   bool is_serving =
-      run_until([&] { return serving_daemons() == static_cast<std::int64_t>(names("data").size()); }, Span{10000});
+      run_until([&] { return serving_daemons() == static_cast<std::int64_t>(names("data").size()); }, Duration{10000});
   if (!has_calls_ && crowd_.rate > 0) {
     has_calls_ = true;
     ask_call();
--- a/packages/fleet-simulator/tests/fleet_simulator_test.cpp
+++ b/packages/fleet-simulator/tests/fleet_simulator_test.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-std::string show(const std::vector<SimulationBreak>& breaks) {
+std::string show(const std::vector<InvariantViolation>& breaks) {
   std::string text;
   for (const auto& broken : breaks)
     text += std::to_string(broken.at) + " " + broken.rule + ": " + broken.detail + "\n";
@@ -25,7 +25,7 @@
   auto fleet = serving_fleet(1);
   ASSERT_TRUE(fleet);
   fleet->reset_tally();
-  fleet->run(Span{10000});
+  fleet->run(Duration{10000});
   EXPECT_GT(fleet->tally().served, 300);
   EXPECT_EQ(fleet->tally().refused + fleet->tally().refused_no_grant + fleet->tally().unknown, 0);
   EXPECT_EQ(show(fleet->breaks()), "");
@@ -33,7 +33,7 @@
 
 TEST(FleetSimulator, FixedSeedsOfChaosBreakNoRule) {
   for (std::uint64_t seed = 1; seed <= 24; ++seed) {
-    auto result = run_chaos(seed, Span{20000});
+    auto result = run_fault_injection(seed, Duration{20000});
     EXPECT_EQ(show(result.breaks), "") << "seed " << seed << "\n" << result.story;
   }
 }
@@ -41,7 +41,7 @@
 TEST(FleetSimulator, SeedsThatOnceBrokeARule) {
   // 5018: a torn batch read as corruption. 30216: an edit found in force under a map that did not hold it.
   for (std::uint64_t seed : {5018, 30216}) {
-    auto result = run_chaos(seed, Span{30000});
+    auto result = run_fault_injection(seed, Duration{30000});
     EXPECT_EQ(show(result.breaks), "") << "seed " << seed << "\n" << result.story;
   }
 }
@@ -53,9 +53,9 @@
     // Cut off from every edge daemon, but not from the core: it still learns that it is behind.
     for (const auto& edge : fleet->names("edge"))
       fleet->cut_both("a1-data", edge);
-    fleet->run(Span{500});
-    ASSERT_TRUE(fleet->edit_until_done("put", plans_kind, "check", other_plan, Span{20000}));
-    fleet->run(Span{8000});
+    fleet->run(Duration{500});
+    ASSERT_TRUE(fleet->edit_until_done("put", plans_kind, "check", other_plan, Duration{20000}));
+    fleet->run(Duration{8000});
     if (is_guard_out)
       EXPECT_NE(show(fleet->breaks()), "");
     else
@@ -67,28 +67,28 @@
 TEST(FleetSimulator, AFrozenDaemonThatWakesSendsNothingByItsOldPlan) {
   auto fleet = serving_fleet(4);
   fleet->freeze("b2-data");
-  fleet->run(Span{300});
-  ASSERT_TRUE(fleet->edit_until_done("put", plans_kind, "check", other_plan, Span{20000}));
-  fleet->run(Span{6000});
+  fleet->run(Duration{300});
+  ASSERT_TRUE(fleet->edit_until_done("put", plans_kind, "check", other_plan, Duration{20000}));
+  fleet->run(Duration{6000});
   fleet->thaw("b2-data");  // the calls that came meanwhile are in its hands now
-  fleet->run(Span{5000});
+  fleet->run(Duration{5000});
   EXPECT_EQ(show(fleet->breaks()), "");
 }
 
 TEST(FleetSimulator, AnAcknowledgedChangeOutlivesEveryDaemonAndOneWipedDisk) {
   auto fleet = serving_fleet(5);
   auto outcome = fleet->edit(fleet->master(), "put", plans_kind, "check", other_plan, 1);
-  ASSERT_TRUE(fleet->run_until([&] { return outcome->is_over; }, Span{20000}));
+  ASSERT_TRUE(fleet->run_until([&] { return outcome->is_over; }, Duration{20000}));
   ASSERT_EQ(outcome->code, 200);
   for (const char* role : {"edge", "data", "core"})
     for (const auto& name : fleet->names(role))
       fleet->power_cut(name);
   fleet->wipe("a0");
-  fleet->run(Span{1000});
+  fleet->run(Duration{1000});
   for (const char* role : {"edge", "data", "core"})
     for (const auto& name : fleet->names(role))
       fleet->start(name);
-  ASSERT_TRUE(fleet->run_until([&] { return fleet->serving_daemons() == 9; }, Span{12000})) << fleet->why_silent();
+  ASSERT_TRUE(fleet->run_until([&] { return fleet->serving_daemons() == 9; }, Duration{12000})) << fleet->why_silent();
   for (const auto& name : fleet->names("data"))
     EXPECT_EQ(fleet->data(name)->view()->plans.front().deadline_ms, 4500) << name;
   // The wiped machine is a new store, and is admitted again without an operator.
@@ -99,7 +99,7 @@
             return true;
         return false;
       },
-      Span{15000}));
+      Duration{15000}));
   EXPECT_EQ(show(fleet->breaks()), "");
 }
 
@@ -109,7 +109,7 @@
     auto fleet = serving_fleet(seed);
     auto first = fleet->edit("a1", "put", plans_kind, "check", other_plan, 1);
     auto second = fleet->edit("c2", "patch", plans_kind, "check", R"({"horizon_ms":3333})", 1);
-    fleet->run_until([&] { return first->is_over && second->is_over; }, Span{9000});
+    fleet->run_until([&] { return first->is_over && second->is_over; }, Duration{9000});
     both += first->code == 200 && second->code == 200;
     one += (first->code == 200) != (second->code == 200);
     EXPECT_TRUE(first->code == 412 || second->code == 412);
@@ -131,17 +131,17 @@
       fleet->isolate(was);
     if (std::string(way) == "leave") {
       fleet->control(was)->stop(fleet->moment(was));
-      fleet->run(Span{50});
+      fleet->run(Duration{50});
       fleet->kill(was);
     }
     std::int64_t took = until_new_map(*fleet, was);
     EXPECT_GT(took, 0) << way;
     EXPECT_LT(took, 9000) << way;
     std::string next = fleet->master();
-    ASSERT_TRUE(fleet->edit_until_done("put", plans_kind, "check", other_plan, Span{20000}));
+    ASSERT_TRUE(fleet->edit_until_done("put", plans_kind, "check", other_plan, Duration{20000}));
     fleet->thaw(was);
     fleet->heal();
-    fleet->run(Span{6000});
+    fleet->run(Duration{6000});
     EXPECT_EQ(fleet->master(), next) << "a fleet with a master keeps it";
     EXPECT_EQ(show(fleet->breaks()), "") << way;
   }
@@ -156,7 +156,7 @@
       fleet->cut_both(was, edge);
       ++cut;
     }
-  fleet->run(Span{15000});
+  fleet->run(Duration{15000});
   EXPECT_EQ(fleet->master(), was);
   EXPECT_EQ(fleet->control(was)->election().counts().stepped_down, 0);
 }
@@ -175,38 +175,38 @@
   auto fleet = serving_fleet(9);
   fleet->power_cut("b0");
   std::string fresh = fleet->add_core("b");
-  fleet->run(Span{1500});
+  fleet->run(Duration{1500});
   auto refused = fleet->replace_core("a1", "b0", "c0");  // holds a register already
-  ASSERT_TRUE(fleet->run_until([&] { return refused->is_over; }, Span{9000}));
+  ASSERT_TRUE(fleet->run_until([&] { return refused->is_over; }, Duration{9000}));
   EXPECT_EQ(refused->code, 409);
   auto unknown = fleet->replace_core("a1", "a1", fresh);  // a1 is no core machine
-  ASSERT_TRUE(fleet->run_until([&] { return unknown->is_over; }, Span{9000}));
+  ASSERT_TRUE(fleet->run_until([&] { return unknown->is_over; }, Duration{9000}));
   EXPECT_EQ(unknown->code, 409);
   auto done = fleet->replace_core("a1", "b0", fresh);
-  ASSERT_TRUE(fleet->run_until([&] { return done->is_over; }, Span{9000}));
+  ASSERT_TRUE(fleet->run_until([&] { return done->is_over; }, Duration{9000}));
   EXPECT_EQ(done->code, 200);
   // The new copy counts: with it and one other the register takes changes.
   fleet->power_cut("c0");
-  EXPECT_TRUE(fleet->edit_until_done("put", plans_kind, "check", other_plan, Span{20000})) << fleet->why_silent();
-  fleet->run(Span{3000});
+  EXPECT_TRUE(fleet->edit_until_done("put", plans_kind, "check", other_plan, Duration{20000})) << fleet->why_silent();
+  fleet->run(Duration{3000});
   EXPECT_EQ(fleet->serving_daemons(), 9);
   EXPECT_EQ(show(fleet->breaks()), "");
 }
 
 TEST(FleetSimulator, LeavingRunnersAndEmptiedZonesGetNoNewWorkAndComeBack) {
   auto fleet = serving_fleet(10);
-  ASSERT_TRUE(fleet->edit_until_done("patch", runners_kind, "model-a1", R"({"leaving":true})", Span{20000}));
-  ASSERT_TRUE(fleet->edit_until_done("put", orders_kind, "b", R"({"state":"emptied"})", Span{20000}));
+  ASSERT_TRUE(fleet->edit_until_done("patch", runners_kind, "model-a1", R"({"leaving":true})", Duration{20000}));
+  ASSERT_TRUE(fleet->edit_until_done("put", orders_kind, "b", R"({"state":"emptied"})", Duration{20000}));
   fleet->isolate("c1-data");
   fleet->freeze("c2-data");
-  fleet->run(Span{9000});
+  fleet->run(Duration{9000});
   EXPECT_LE(fleet->figures().worst_leaving_ms, 5000);
   fleet->heal();
   fleet->thaw("c2-data");
-  ASSERT_TRUE(fleet->edit_until_done("put", orders_kind, "b", R"({"state":"serving"})", Span{20000}));
-  fleet->run(Span{3000});
+  ASSERT_TRUE(fleet->edit_until_done("put", orders_kind, "b", R"({"state":"serving"})", Duration{20000}));
+  fleet->run(Duration{3000});
   fleet->reset_tally();
-  fleet->run(Span{4000});
+  fleet->run(Duration{4000});
   EXPECT_EQ(fleet->tally().refused + fleet->tally().unknown + fleet->tally().refused_no_grant, 0);
   EXPECT_EQ(show(fleet->breaks()), "");
 }
@@ -220,12 +220,12 @@
     for (int round = 0; round < 3; ++round) {
       for (const auto& runner : fleet->runner_names())
         fleet->start_runner(runner);  // all at once, cold
-      fleet->run(Span{5000});
+      fleet->run(Duration{5000});
     }
     if (is_guard_out)
-      EXPECT_GT(fleet->figures().cold_peak_over, 0);
+      EXPECT_GT(fleet->figures().warmup_peak_over, 0);
     else
-      EXPECT_EQ(fleet->figures().cold_peak_over, 0);
+      EXPECT_EQ(fleet->figures().warmup_peak_over, 0);
     auto figures = fleet->figures();
     EXPECT_LE(figures.retries * 5, figures.sends + std::int64_t{5} * 9 * 12);
     if (is_guard_out)
@@ -244,22 +244,22 @@
   fleet->control("a0")->found(
       "another", {fleet->address("a0"), fleet->address("b0"), fleet->address("c0")},
       [&](int answer, const std::string&) { code = answer; }, fleet->moment("a0"));
-  fleet->run_until([&] { return code != 0; }, Span{6000});
+  fleet->run_until([&] { return code != 0; }, Duration{6000});
   EXPECT_EQ(code, 409);
 }
 
 TEST(FleetSimulator, CallsGoOnByTheMastersWordWhileTheCoreIsCutOff) {
   auto fleet = serving_fleet(13);
-  fleet->run(Span{10000});  // a daemon that has just started acknowledges nothing yet
+  fleet->run(Duration{10000});  // a daemon that has just started acknowledges nothing yet
   for (const auto& core : fleet->names("core"))
     for (const char* role : {"edge", "data"})
       for (const auto& name : fleet->names(role))
         fleet->cut_both(core, name);
   fleet->reset_tally();
-  fleet->run(Span{29500});
+  fleet->run(Duration{29500});
   EXPECT_GT(fleet->tally().served, 900);
   EXPECT_EQ(fleet->tally().refused_no_grant, 0);
-  fleet->run(Span{4000});
+  fleet->run(Duration{4000});
   EXPECT_EQ(fleet->serving_daemons(), 0);  // its word has lapsed: nothing more is proven
   EXPECT_EQ(show(fleet->breaks()), "");
 }
@@ -268,7 +268,7 @@
   enum class Guard { in, wait_out, promise_out };
   for (Guard guard : {Guard::in, Guard::wait_out, Guard::promise_out}) {
     auto fleet = serving_fleet(14);
-    fleet->run(Span{10000});
+    fleet->run(Duration{10000});
     std::vector<std::string> old_edges = fleet->names("edge");
     // The whole roster and its data daemons are cut off from the core, and nine new daemons come up beside it.
     for (const char* role : {"edge", "data"})
@@ -294,10 +294,10 @@
               return true;
           return false;
         },
-        Span{12000}))
+        Duration{12000}))
         << fleet->why_silent();
     auto outcome = fleet->edit("a0", "put", plans_kind, "check", other_plan);
-    fleet->run(Span{40000});
+    fleet->run(Duration{40000});
     EXPECT_EQ(outcome->code, 200) << outcome->body << fleet->why_silent();
     if (guard != Guard::in)
       EXPECT_NE(show(fleet->breaks()), "");
@@ -313,19 +313,19 @@
   ASSERT_TRUE(fleet->edit_until_done(
       "put", orders_kind, "b",
       R"({"state":"serving","windows":[{"from":"2026-12-02T01:00:00Z","until":"2026-12-02T01:00:20Z"}]})",
-      Span{20000}));
-  auto is_emptied = [&] {
-    return fleet->control(fleet->master())->map().emptied.size() == 1;
+      Duration{20000}));
+  auto is_evacuated = [&] {
+    return fleet->control(fleet->master())->map().evacuated_zones.size() == 1;
   };
-  EXPECT_FALSE(is_emptied());
-  fleet->run(Span{7000});
-  EXPECT_TRUE(is_emptied());
+  EXPECT_FALSE(is_evacuated());
+  fleet->run(Duration{7000});
+  EXPECT_TRUE(is_evacuated());
   fleet->kill(fleet->master());  // the next master keeps it open, and closes it
-  fleet->run(Span{8000});
+  fleet->run(Duration{8000});
   ASSERT_NE(fleet->master(), "");
-  EXPECT_TRUE(is_emptied());
-  fleet->run(Span{18000});
-  EXPECT_FALSE(is_emptied());
+  EXPECT_TRUE(is_evacuated());
+  fleet->run(Duration{18000});
+  EXPECT_FALSE(is_evacuated());
   EXPECT_EQ(show(fleet->breaks()), "");
 }
 
@@ -339,15 +339,15 @@
       fleet->freeze(was);
     if (std::string(way) == "isolate")
       fleet->isolate(was);
-    fleet->run(Span{20});
+    fleet->run(Duration{20});
     std::string at = was == "a1" ? "a2" : "a1";
     auto outcome = fleet->edit(at, "patch", runners_kind, "model-b1", R"({"leaving":true})");
     std::int64_t asked = fleet->now();
-    fleet->run(Span{2500});
+    fleet->run(Duration{2500});
     // Nobody could make it durable yet, and no data daemon in reach sends to it any more.
     std::int64_t last = fleet->watch().last_sent("model-b1");
     EXPECT_LT(last - asked, 1500) << way;
-    fleet->run(Span{12000});
+    fleet->run(Duration{12000});
     EXPECT_TRUE(outcome->is_over);
     EXPECT_TRUE(outcome->code == 200 || outcome->code == 503 || outcome->code == 504) << outcome->code;
     EXPECT_EQ(show(fleet->breaks()), "") << way;
@@ -360,28 +360,28 @@
   fleet->freeze(was);
   std::string at = was == "a1" ? "a2" : "a1";
   auto outcome = fleet->edit(at, "put", orders_kind, "b", R"({"state":"emptied"})", 9);  // a stale version: it loses
-  fleet->run(Span{1500});
+  fleet->run(Duration{1500});
   auto is_barred = [&] {
     return fleet->data("a1-data")->view()->runners.at(RunnerName{"model-b1"}).status == "emptied";
   };
   EXPECT_TRUE(is_barred());
-  fleet->run(Span{12000});
+  fleet->run(Duration{12000});
   EXPECT_TRUE(outcome->is_over);
   EXPECT_NE(outcome->code, 200);
   EXPECT_FALSE(is_barred());
   fleet->reset_tally();
-  fleet->run(Span{3000});
+  fleet->run(Duration{3000});
   EXPECT_EQ(fleet->tally().refused, 0);
   EXPECT_EQ(show(fleet->breaks()), "");
 }
 
 TEST(FleetSimulator, AnEditAfterAKilledMasterIsAcknowledgedSoon) {
   auto fleet = serving_fleet(18);
-  fleet->run(Span{8000});
+  fleet->run(Duration{8000});
   std::string was = fleet->master();
   fleet->kill(was);
   auto outcome = fleet->edit(was == "a1" ? "a2" : "a1", "patch", plans_kind, "check", R"({"horizon_ms":4000})");
-  fleet->run_until([&] { return outcome->is_over; }, Span{20000});
+  fleet->run_until([&] { return outcome->is_over; }, Duration{20000});
   EXPECT_EQ(outcome->code, 200) << outcome->body;
   EXPECT_LT(outcome->over_at - outcome->asked_at, 4000);
   EXPECT_EQ(show(fleet->breaks()), "");
@@ -395,17 +395,17 @@
     for (int i = 0; i < 5; ++i) {
       auto outcome =
           fleet->edit("a1", "patch", plans_kind, "check", R"({"horizon_ms":)" + std::to_string(3000 + i) + "}");
-      fleet->run_until([&] { return outcome->is_over; }, Span{9000});
+      fleet->run_until([&] { return outcome->is_over; }, Duration{9000});
       EXPECT_EQ(outcome->code, 200) << outcome->body;
       EXPECT_LT(outcome->over_at - outcome->asked_at, 400);
     }
     EXPECT_GT(fleet->disk_bites(), 0);
     EXPECT_EQ(fleet->tally().refused_no_grant, 0);
     fleet->set_disk("b0", FleetSimulation::Disk::good);
-    fleet->run(Span{3000});
+    fleet->run(Duration{3000});
     // It has caught up: with it and one other the register goes on.
     fleet->power_cut("a0");
-    EXPECT_TRUE(fleet->edit_until_done("patch", plans_kind, "check", R"({"horizon_ms":4100})", Span{9000}));
+    EXPECT_TRUE(fleet->edit_until_done("patch", plans_kind, "check", R"({"horizon_ms":4100})", Duration{9000}));
     EXPECT_EQ(show(fleet->breaks()), "");
   }
 }
--- a/packages/fleet-simulator/tests/rule_watch_test.cpp
+++ b/packages/fleet-simulator/tests/invariant_checker_test.cpp
@@ -1,5 +1,5 @@
 // An oracle is code under test: each of its checks is shown a history that keeps the rule, and its broken twin.
-#include "emberdale/rule_watch.hpp"
+#include "emberdale/invariant_checker.hpp"
 
 #include <gtest/gtest.h>
 
@@ -18,26 +18,26 @@
          (is_leaving ? "true}" : "false}");
 }
 
-FleetState state_of(Integer version, Integer revision, std::vector<Resource> resources,
-                    std::vector<DoneChange> done = {}) {
+FleetState state_of(std::int64_t version, std::int64_t revision, std::vector<Resource> resources,
+                    std::vector<CompletedChange> done = {}) {
   FleetState state;
   state.version = version;
   state.config_revision = revision;
   state.resources = std::move(resources);
-  state.done = std::move(done);
+  state.completed_changes = std::move(done);
   return state;
 }
 
-void see(RuleWatch& watch, std::int64_t now, const FleetState& state, const std::string& daemon = "a1") {
+void see(InvariantChecker& watch, std::int64_t now, const FleetState& state, const std::string& daemon = "a1") {
   watch.saw_state(now, daemon, state, encode_state(state));
 }
 
-RuleWatch::Ask ask(const std::string& change, const std::string& kind, const std::string& name, const std::string& body,
-                   std::int64_t at = 0) {
+InvariantChecker::Ask ask(const std::string& change, const std::string& kind, const std::string& name,
+                          const std::string& body, std::int64_t at = 0) {
   return {change, kind, name, "put", body, at};
 }
 
-WatchedSend send_to(const std::string& runner, Integer revision) {
+WatchedSend send_to(const std::string& runner, std::int64_t revision) {
   return {1, "a1-data", runner, "north", "", revision, false};
 }
 
@@ -48,37 +48,37 @@
 
 struct Twin {
   std::string rule;
-  std::function<void(RuleWatch&, bool is_broken)> history;
+  std::function<void(InvariantChecker&, bool is_broken)> history;
 };
 
 const std::vector<Twin> twins{
     {"a call ran twice",
-     [](RuleWatch& w, bool broken) {
+     [](InvariantChecker& w, bool broken) {
        w.ran(1, 7, !broken);
        w.ran(2, 7, !broken);
      }},
     {"a call ran after its refusal",
-     [](RuleWatch& w, bool broken) {
+     [](InvariantChecker& w, bool broken) {
        w.refused(1, 7, false);
        if (broken)
          w.ran(2, 7, false);
      }},
     {"refused after it ran",
-     [](RuleWatch& w, bool broken) {
+     [](InvariantChecker& w, bool broken) {
        if (broken)
          w.ran(1, 7, false);
        w.refused(2, 7, false);
      }},
     {"a cold runner is flooded",
-     [](RuleWatch& w, bool broken) {
-       w.asked_cold(1, "m1", broken ? 3 : 2, 2);
+     [](InvariantChecker& w, bool broken) {
+       w.asked_while_warming_up(1, "m1", broken ? 3 : 2, 2);
      }},
     {"homed work abroad",
-     [](RuleWatch& w, bool broken) {
+     [](InvariantChecker& w, bool broken) {
        w.sent(1, {1, "d", "m1", broken ? "south" : "north", "north", 1, false});
      }},
     {"too many retries",
-     [](RuleWatch& w, bool broken) {
+     [](InvariantChecker& w, bool broken) {
        // The same retries: at once, or spread over a day. A share of the whole day would not see the burst.
        for (int i = 0; i < 1000; ++i)
          w.sent(std::int64_t{20} * i, {i, "d", "m1", "north", "", 1, false});
@@ -86,20 +86,20 @@
          w.sent(20000 + i * (broken ? 1 : 100), {i, "d", "m1", "north", "", 1, true});
      }},
     {"an old plan still serves",
-     [](RuleWatch& w, bool broken) {
+     [](InvariantChecker& w, bool broken) {
        w.acknowledged(100, {ask("c1", plans_kind, "p", "{}"), 1, 5});
        w.sent(broken ? 3200 : 3000, send_to("m1", 4));
        w.sent(9000, send_to("m1", 5));
      }},
     {"new work for a leaving runner",
-     [](RuleWatch& w, bool broken) {
+     [](InvariantChecker& w, bool broken) {
        see(w, 0, state_of(1, 1, {free_runner}));
        see(w, 100, state_of(2, 2, {leaving_runner}));
        w.acknowledged(100, {ask("c1", runners_kind, "m1", R"({"leaving":true})", 50), 2, 2});
        w.sent(broken ? 5100 : 5000, send_to("m1", 2));
      }},
     {"new work for a leaving runner",
-     [](RuleWatch& w, bool broken) {  // freed again: from then on it may work, and not before
+     [](InvariantChecker& w, bool broken) {  // freed again: from then on it may work, and not before
        see(w, 0, state_of(1, 1, {free_runner}));
        see(w, 100, state_of(2, 2, {leaving_runner}));
        w.acknowledged(100, {ask("c1", runners_kind, "m1", R"({"leaving":true})", 50), 2, 2});
@@ -108,123 +108,123 @@
        w.sent(6100, send_to("m1", 2));
      }},
     {"new work for a leaving runner",
-     [](RuleWatch& w, bool broken) {  // told, and answered late
+     [](InvariantChecker& w, bool broken) {  // told, and answered late
        see(w, 0, state_of(1, 1, {free_runner}));
        w.sent(broken ? 5600 : 5400, send_to("m1", 1));
        see(w, 5700, state_of(2, 2, {leaving_runner}));
        w.acknowledged(5800, {ask("c1", runners_kind, "m1", R"({"leaving":true})", 500), 2, 2});
      }},
     {"two states under one version",
-     [](RuleWatch& w, bool broken) {
+     [](InvariantChecker& w, bool broken) {
        see(w, 1, state_of(1, 1, {plan_one}));
        see(w, 2, state_of(1, 1, {broken ? plan_two : plan_one}), "b1");
      }},
     {"a daemon's state went back",
-     [](RuleWatch& w, bool broken) {
+     [](InvariantChecker& w, bool broken) {
        see(w, 1, state_of(2, 1, {plan_one}));
        see(w, 2, state_of(1, 0, {}), broken ? "a1" : "b1");
      }},
     {"two texts under one version",
-     [](RuleWatch& w, bool broken) {
+     [](InvariantChecker& w, bool broken) {
        see(w, 1, state_of(1, 1, {plan_one}));
        see(w, 2, state_of(2, 2, {broken ? Resource{plans_kind, "p", 1, 2, "{}"} : plan_two}));
      }},
     {"two publish in one term",
-     [](RuleWatch& w, bool broken) {
+     [](InvariantChecker& w, bool broken) {
        w.published(1, "a1", {3, 1}, "x");
        w.published(2, broken ? "b1" : "a1", {3, 2}, "y");
      }},
     {"one map version twice",
-     [](RuleWatch& w, bool broken) {
+     [](InvariantChecker& w, bool broken) {
        w.published(1, "a1", {3, 1}, "x");
        w.published(2, "a1", {3, 1}, broken ? "y" : "x");
      }},
     {"a data daemon slid back",
-     [](RuleWatch& w, bool broken) {
+     [](InvariantChecker& w, bool broken) {
        w.follows(1, "d", {3, 2});
        w.follows(2, "d", {broken ? 2 : 4, 1});
      }},
     {"rivals both acknowledged",
-     [](RuleWatch& w, bool broken) {
+     [](InvariantChecker& w, bool broken) {
        w.acknowledged(1, {ask("c1", plans_kind, "p", "{}"), 2, 2});
        w.acknowledged(2, {ask("c2", plans_kind, "p", "{}"), broken ? 2 : 3, 3});
      }},
     {"acknowledged, but other than asked",
-     [](RuleWatch& w, bool broken) {
+     [](InvariantChecker& w, bool broken) {
        see(w, 1, state_of(1, 1, {plan_one}));
        w.acknowledged(2, {ask("c1", plans_kind, "p", broken ? R"({"horizon_ms":9})" : R"({"horizon_ms":1})"), 1, 1});
      }},
     {"a refused change took effect",
-     [](RuleWatch& w, bool broken) {
+     [](InvariantChecker& w, bool broken) {
        w.turned_down(1, ask("c1", plans_kind, "p", "{}"));
        see(w, 2, state_of(1, 1, {plan_one}, {{broken ? "c1" : "c2", 1, 1}}));
      }},
     {"a refused change took effect",
-     [](RuleWatch& w, bool broken) {  // it was in force first, and refused then
+     [](InvariantChecker& w, bool broken) {  // it was in force first, and refused then
        see(w, 1, state_of(1, 1, {plan_one}, {{"c1", 1, 1}}));
        w.turned_down(2, ask(broken ? "c1" : "c2", plans_kind, "p", "{}"));
      }},
     {"a read misses an acknowledged change",
-     [](RuleWatch& w, bool broken) {
+     [](InvariantChecker& w, bool broken) {
        w.acknowledged(10, {ask("c1", plans_kind, "p", "{}"), 2, 2});
        w.was_read(30, broken ? 20 : 5, "b1", state_of(1, 1, {plan_one}));
      }},
     {"a read shows a state no one chose",
-     [](RuleWatch& w, bool broken) {
+     [](InvariantChecker& w, bool broken) {
        if (!broken)
          see(w, 1, state_of(3, 1, {}));
        w.was_read(30, 10, "a1", state_of(4, 1, {}));
        w.was_read(50, 20, "b1", state_of(3, 1, {}));
      }},
     {"a read goes back behind another",
-     [](RuleWatch& w, bool broken) {
+     [](InvariantChecker& w, bool broken) {
        see(w, 1, state_of(3, 1, {}));
        w.was_read(30, 20, "a1", state_of(4, 1, {}));
        w.was_read(50, broken ? 40 : 25, "b1", state_of(3, 1, {}));
      }},
     {"an acknowledged change is lost",
-     [](RuleWatch& w, bool broken) {
+     [](InvariantChecker& w, bool broken) {
        w.acknowledged(1, {ask("c1", plans_kind, "p", "{}"), 2, 2});
        w.settled(2, state_of(9, 9, {broken ? plan_one : plan_two}));
      }},
     {"an acknowledged change is lost",
-     [](RuleWatch& w, bool broken) {  // gone, and nobody had it deleted
+     [](InvariantChecker& w, bool broken) {  // gone, and nobody had it deleted
        w.acknowledged(1, {ask("c1", plans_kind, "p", "{}"), 2, 2});
-       RuleWatch::Ask deletion = ask("c2", plans_kind, "p", "");
+       InvariantChecker::Ask deletion = ask("c2", plans_kind, "p", "");
        deletion.act = "delete";
        if (!broken)
          w.asked(deletion);
        w.settled(2, state_of(9, 9, {}));
      }},
     {"an acknowledged deletion is lost",
-     [](RuleWatch& w, bool broken) {
-       RuleWatch::Ask deletion = ask("c2", plans_kind, "p", "");
+     [](InvariantChecker& w, bool broken) {
+       InvariantChecker::Ask deletion = ask("c2", plans_kind, "p", "");
        deletion.act = "delete";
        w.acknowledged(1, {deletion, 1, 3});
        w.settled(2, state_of(9, 9, {broken ? plan_one : plan_two}));
      }},
     {"the register holds another text",
-     [](RuleWatch& w, bool broken) {
+     [](InvariantChecker& w, bool broken) {
        see(w, 1, state_of(2, 2, {plan_two}));
        w.acknowledged(2, {ask("c1", plans_kind, "p", "{}"), 2, 2});
        w.settled(3, state_of(9, 2, {broken ? Resource{plans_kind, "p", 2, 2, "{}"} : plan_two}));
      }},
     {"a data daemon holds other plans than the register",
-     [](RuleWatch& w, bool broken) {
+     [](InvariantChecker& w, bool broken) {
        w.holds(1, "d", {{PlanName{"p"}, broken ? 1 : 2}}, {}, state_of(9, 2, {plan_two}));
      }},
     {"a data daemon holds another mark than the register",
-     [](RuleWatch& w, bool broken) {
+     [](InvariantChecker& w, bool broken) {
        w.holds(1, "d", {}, {{RunnerName{"m1"}, broken ? "warm" : "leaving"}}, state_of(9, 2, {leaving_runner}));
      }},
 };
 
 }  // namespace
 
-TEST(RuleWatch, EachCheckSeesItsBrokenTwinAndNothingInTheSoundOne) {
+TEST(InvariantChecker, EachCheckSeesItsBrokenTwinAndNothingInTheSoundOne) {
   for (const auto& twin : twins)
     for (bool is_broken : {false, true}) {
-      RuleWatch watch;
+      InvariantChecker watch;
       twin.history(watch, is_broken);
       if (!is_broken) {
         EXPECT_TRUE(watch.breaks().empty())
--- a/packages/fleet-simulator/tests/random_day_test.cpp
+++ b/packages/fleet-simulator/tests/random_scenario_test.cpp
@@ -7,68 +7,68 @@
 
 namespace {
 
-std::string show(const ChaosResult& result) {
+std::string show(const FaultInjectionResult& result) {
   std::string text;
   for (const auto& broken : result.breaks)
     text += std::to_string(broken.at) + " " + broken.rule + ": " + broken.detail + "\n";
   return text.empty() ? text : text + result.story;
 }
 
-DayPlan small_day() {
-  DayPlan plan;
+ScenarioPlan small_scenario() {
+  ScenarioPlan plan;
   plan.shape.calls_per_second = 30;
   return plan;
 }
 
 }  // namespace
 
-TEST(RandomDay, FixedSeedsBreakNoRuleAndEveryFaultBites) {
+TEST(RandomScenario, FixedSeedsBreakNoRuleAndEveryFaultBites) {
   std::map<std::string, std::int64_t> bites;
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
-    auto result = run_random_day(seed, small_day());
+    auto result = run_random_scenario(seed, small_scenario());
     EXPECT_EQ(show(result), "") << "seed " << seed;
     for (const auto& [fault, number] : result.bites)
       bites[fault] += number;
   }
   std::size_t felt = 0;
-  for (const auto& fault : random_day_faults())
+  for (const auto& fault : random_scenario_faults())
     felt += bites[fault] > 0;
-  EXPECT_GE(felt + 4, random_day_faults().size());  // twelve days need not bring about the rarest
+  EXPECT_GE(felt + 4, random_scenario_faults().size());  // twelve days need not bring about the rarest
 }
 
-TEST(RandomDay, SeedsThatOnceBrokeARule) {
+TEST(RandomScenario, SeedsThatOnceBrokeARule) {
   // 11, 334: new work for a leaving runner whose mark waited for a master. 167: a deleted name had its old
   // versions again. 215: a refused change took effect. 67: an answer to a former life's ask. 238: all seeds
   // replaced. 76, 134, 180, 30: a cold runner's share given on while it was still used. 3201: a runner that warmed up
   // was refused for good. 11188: a burst of retries from what all daemons had saved up.
   for (std::uint64_t seed : {11, 30, 67, 76, 134, 167, 180, 215, 238, 334, 3201, 11188}) {
-    auto result = run_random_day(seed, small_day());
+    auto result = run_random_scenario(seed, small_scenario());
     EXPECT_EQ(show(result), "") << "seed " << seed;
   }
 }
 
-TEST(RandomDay, OneDayOfEachDeploymentInItsTrueSize) {
+TEST(RandomScenario, OneDayOfEachDeploymentInItsTrueSize) {
   for (const auto& shape : {caspian_shape(), kathmandu_shape()}) {
-    DayPlan plan;
+    ScenarioPlan plan;
     plan.shape = shape;
-    plan.length = Span{15000};
-    auto result = run_random_day(2, plan);
+    plan.length = Duration{15000};
+    auto result = run_random_scenario(2, plan);
     EXPECT_EQ(show(result), "");
   }
   // Seed 66: a restarted daemon used its share before the master had heard of it again.
-  DayPlan plan;
+  ScenarioPlan plan;
   plan.shape = caspian_shape();
-  EXPECT_EQ(show(run_random_day(66, plan)), "");
+  EXPECT_EQ(show(run_random_scenario(66, plan)), "");
 }
 
 // What is taken out, and the rule whose break the day must then see within a few seeds.
-TEST(RandomDay, EachGuardTakenOutIsSeenByTheDay) {
+TEST(RandomScenario, EachGuardTakenOutIsSeenByTheDay) {
   struct Plant {
     const char* what;
     const char* rule;
     std::function<void(FleetSimulation&)> act;
     const char* only;
-    Span length{30000};
+    Duration length{30000};
     int calls_per_second = 30;
   };
   // A daemon without contact refuses edits at once, so fewer are acknowledged while one serves by an old plan: that day
@@ -76,9 +76,10 @@
   // twice as large.
   const std::vector<Plant> plants{
       {"grants are not checked", "an old plan still serves", [](FleetSimulation& f) { f.is_grant_check_off = true; },
-       "", Span{60000}},
+       "", Duration{60000}},
       {"runners take calls of a former life", "a cold runner is flooded",
-       [](FleetSimulation& f) { f.is_incarnation_check_off = true; }, "a region's runners back cold", Span{30000}, 60},
+       [](FleetSimulation& f) { f.is_incarnation_check_off = true; }, "a region's runners back cold", Duration{30000},
+       60},
       {"core machines answer before their disk has it", "an acknowledged change is lost",
        [](FleetSimulation& f) { f.is_sync_off = true; }, ""},
       {"core machines answer before their disk has it", "the operators' calls are not linearizable",
@@ -94,12 +95,12 @@
   for (const auto& plant : plants) {
     bool is_seen = false;
     for (std::uint64_t seed = 1; seed <= 10 && !is_seen; ++seed) {
-      DayPlan plan = small_day();
+      ScenarioPlan plan = small_scenario();
       plan.only = plant.only;
       plan.length = plant.length;
       plan.shape.calls_per_second = plant.calls_per_second;
       plan.plant = plant.act;
-      for (const auto& broken : run_random_day(seed, plan).breaks)
+      for (const auto& broken : run_random_scenario(seed, plan).breaks)
         is_seen = is_seen || broken.rule == plant.rule;
     }
     EXPECT_TRUE(is_seen) << plant.what << ": the day did not see that " << plant.rule;
--- a/packages/fleet-simulator/tests/scale_runs_test.cpp
+++ b/packages/fleet-simulator/tests/scale_runs_test.cpp
@@ -16,9 +16,9 @@
   ScaleFleet fleet(1, shape);
   auto up = fleet.bring_up();
   EXPECT_TRUE(up) << up.reason;
-  fleet.run(Span{5000});
+  fleet.run(Duration{5000});
   fleet.reset();
-  fleet.run(Span{10000});
+  fleet.run(Duration{10000});
   return fleet.counts();
 }
 
@@ -64,9 +64,9 @@
   shape.changes_a_minute = 60;
   ScaleFleet fleet(1, shape);
   ASSERT_TRUE(fleet.bring_up());
-  fleet.run(Span{5000});
+  fleet.run(Duration{5000});
   fleet.reset();
-  fleet.run(Span{10000});
+  fleet.run(Duration{10000});
   EXPECT_LE(fleet.counts().register_rounds, 14);
   EXPECT_EQ(fleet.changes_failed, 0);
   ASSERT_GE(fleet.in_force_ms.size(), 9u);
--- a/packages/fleet-starter/src/fleet_of_processes.cpp
+++ b/packages/fleet-starter/src/fleet_of_processes.cpp
@@ -65,10 +65,10 @@
   auto take = [&] {
     return places[next++];
   };
-  std::map<std::string, std::string> core_link;
+  std::map<std::string, std::string> core_connection;
   for (const char* zone : {"a", "b", "c"})
-    core_link[zone] = take();
-  std::string seeds = core_link["a"] + "," + core_link["b"] + "," + core_link["c"];
+    core_connection[zone] = take();
+  std::string seeds = core_connection["a"] + "," + core_connection["b"] + "," + core_connection["c"];
   int number = 0;
   std::size_t zone_index = 0;
   for (const std::string zone : {"a", "b", "c"}) {
@@ -94,7 +94,7 @@
       }
       add(std::move(process));
     };
-    daemon(zone + "0-core", "core", "emberdale-control-plane", core_link[zone]);
+    daemon(zone + "0-core", "core", "emberdale-control-plane", core_connection[zone]);
     for (int machine = 1; machine <= 3; ++machine) {
       std::string name = zone + std::to_string(machine);
       daemon(name + "-control", "edge", "emberdale-control-plane", take());
--- a/packages/fleet-starter/src/trial_main.cpp
+++ b/packages/fleet-starter/src/trial_main.cpp
@@ -182,8 +182,8 @@
     std::this_thread::sleep_until(start + std::chrono::milliseconds(static_cast<std::int64_t>(seconds * 1000 * share)));
   };
 
-  std::int64_t emptied_at = 0, taken_back_at = 0;
-  std::string emptied_zone = "b";
+  std::int64_t evacuated_at = 0, taken_back_at = 0;
+  std::string evacuated_zone = "b";
   auto note = [&](Json event) {
     event["at_ms"] = since(start);
     events.push_back(std::move(event));
@@ -249,13 +249,13 @@
   acts.push_back(
       {"zone", [&] {
          auto ordered = Clock::now();
-         auto ended = fleet.client({"evacuate", emptied_zone, "--wait"});
-         emptied_at = wall_ms();
+         auto ended = fleet.client({"evacuate", evacuated_zone, "--wait"});
+         evacuated_at = wall_ms();
          note({{"event", "zone emptied"}, {"client_status", ended.status}, {"in_force_after_ms", since(ordered)}});
          pause(static_cast<int>(seconds * 60));
          taken_back_at = wall_ms();
          ordered = Clock::now();
-         ended = fleet.client({"take-back", emptied_zone, "--wait"});
+         ended = fleet.client({"take-back", evacuated_zone, "--wait"});
          note({{"event", "zone taken back"}, {"client_status", ended.status}, {"in_force_after_ms", since(ordered)}});
        }});
   acts.push_back(
@@ -532,7 +532,7 @@
   }
   for (const auto& [second, kinds] : not_served)
     result["not_served_by_second"].push_back({{"second", second}, {"calls", kinds}});
-  std::int64_t twice = 0, after_refusal = 0, abroad = 0, in_emptied = 0;
+  std::int64_t twice = 0, after_refusal = 0, abroad = 0, in_evacuated = 0;
   std::int64_t by_old_plan = 0, worst_old_plan = 0, for_leaving = 0;
   for (const auto& run : ledgers.runs) {
     for (const auto& ack : acks)
@@ -552,10 +552,11 @@
     std::string home = run.call.substr(first + 1, second - first - 1);
     if (home != "free" && home != region_of[run.runner])
       ++abroad;
-    if (emptied_at > 0 && zone_of[run.runner] == emptied_zone && run.at > emptied_at + 500 && run.at < taken_back_at)
-      ++in_emptied;
+    if (evacuated_at > 0 && zone_of[run.runner] == evacuated_zone && run.at > evacuated_at + 500 &&
+        run.at < taken_back_at)
+      ++in_evacuated;
   }
-  std::int64_t cold_over = ledgers.refusals["refuse-cold"];
+  std::int64_t warmup_excess = ledgers.refusals["refuse-cold"];
   auto data = sum_metrics(fleet, "data", "/emberdale/metrics");
   auto control = sum_metrics(fleet, "edge", "/metrics");
   result["runs"] = ledgers.runs.size();
@@ -571,13 +572,13 @@
                       {"run twice", twice},
                       {"run after refusal", after_refusal},
                       {"homed work abroad", abroad},
-                      {"new work in the emptied zone once in force", in_emptied},
+                      {"new work in the emptied zone once in force", in_evacuated},
                       {"sent by an old plan 3 s after a newer one was acknowledged", by_old_plan},
                       {"new work for a leaving runner 5 s after we were told", for_leaving},
                       {"rivals both acknowledged", rivals_both},
                       {"wrong answers to the crowd", crowd_wrong},
-                      {"cold runner asked above its allowance", cold_over}};
-  std::int64_t hits = 0, misses = 0, cold_peak = 0;
+                      {"cold runner asked above its allowance", warmup_excess}};
+  std::int64_t hits = 0, misses = 0, warmup_peak = 0;
   for (const auto& [name, process] : fleet.processes()) {
     if (process.role != "model")
       continue;
@@ -587,10 +588,10 @@
       continue;
     hits += counts.value("prefix_hits", 0);
     misses += counts.value("prefix_misses", 0);
-    cold_peak = std::max<std::int64_t>(cold_peak, counts.value("cold_peak", 0));
+    warmup_peak = std::max<std::int64_t>(warmup_peak, counts.value("cold_peak", 0));
   }
   result["prefix"] = {{"hits", hits}, {"misses", misses}};
-  result["cold_peak_of_any_runner"] = cold_peak;
+  result["cold_peak_of_any_runner"] = warmup_peak;
   HistoryEnd history_end = judge_history(fleet);
   result["history"] = history_end.figures;
   result["breaks"]["operators' calls without an order that explains them"] = history_end.is_linearizable ? 0 : 1;
--- a/packages/history-checker/include/emberdale/control_call_recorder.hpp
+++ b/packages/history-checker/include/emberdale/control_call_recorder.hpp
@@ -25,8 +25,8 @@
   };
   explicit ControlCallRecorder(ZoneOrderModel zone_orders) : zone_orders_(zone_orders) {}
 
-  std::size_t asked(const std::string& caller, const std::string& daemon, const EditAsk& ask, std::int64_t now);
-  void answered(std::size_t call, const EditAnswer& answer, std::int64_t now);
+  std::size_t asked(const std::string& caller, const std::string& daemon, const EditRequest& request, std::int64_t now);
+  void answered(std::size_t call, const EditResponse& response, std::int64_t now);
   void gave_up(std::size_t call, std::int64_t now) { recorder_.gave_up(call, now); }
   // A read that was answered: one operation for each object that was ever asked for.
   void was_read(const Reader& reader, std::int64_t now, const FleetState& state);
--- a/packages/history-checker/src/control_call_recorder.cpp
+++ b/packages/history-checker/src/control_call_recorder.cpp
@@ -4,37 +4,38 @@
 #include <nlohmann/json.hpp>
 
 #include "emberdale/json_text.hpp"
+#include "emberdale/routing_table.hpp"
 #include "emberdale/serving_plans.hpp"
-#include "emberdale/traffic_table.hpp"
 
 namespace emberdale::history {
 namespace {
 using Json = nlohmann::json;
 
 // Where the document isn't text of JSON the register refuses it: then no digest is needed.
-void fill_configuration_change(Operation& operation, const EditAsk& ask) {
-  operation.base = ask.expected;
-  operation.change = ask.act + " " + std::to_string(ask.expected) + " " + history_digest(ask.body);
-  Json document = Json::parse(ask.body, nullptr, false);
+void fill_configuration_change(Operation& operation, const EditRequest& request) {
+  operation.base = request.expected_version;
+  operation.change =
+      request.action + " " + std::to_string(request.expected_version) + " " + history_digest(request.body);
+  Json document = Json::parse(request.body, nullptr, false);
   if (!document.is_object())
     return;
   if (document.contains("revision") && document["revision"].is_number_integer())
-    operation.revision = document["revision"].get<Integer>();
-  if (ask.act == "replace")
+    operation.revision = document["revision"].get<std::int64_t>();
+  if (request.action == "replace")
     operation.value = history_digest(json_text(document));
 }
 
-void fill_resource_change(Operation& operation, const EditAsk& ask) {
-  operation.change = ask.change;
-  if (ask.act == "delete")
+void fill_resource_change(Operation& operation, const EditRequest& request) {
+  operation.change = request.change_id;
+  if (request.action == "delete")
     operation.kind = OperationKind::remove;
-  if (ask.act == "put")
-    operation.value = history_digest(ask.body);
-  if (ask.expected >= 0)
-    operation.base = ask.expected;
+  if (request.action == "put")
+    operation.value = history_digest(request.body);
+  if (request.expected_version >= 0)
+    operation.base = request.expected_version;
 }
 
-CallOutcome outcome_of(const Operation& operation, Integer code) {
+CallOutcome outcome_of(const Operation& operation, std::int64_t code) {
   if (code == 200 || code == 201)
     return CallOutcome::acknowledged;
   if (code == 412 && operation.base)
@@ -51,7 +52,7 @@
   if (resource == nullptr)
     return;
   bool is_configuration = operation.object_kind == ObjectKind::configuration;
-  operation.value = history_digest(is_configuration ? traffic_document(resource->body) : resource->body);
+  operation.value = history_digest(is_configuration ? routing_table_document(resource->body) : resource->body);
 }
 
 }  // namespace
@@ -60,36 +61,36 @@
   Operation operation;
   operation.object = kind + "/" + name;
   operation.object_kind = ObjectKind::resource;
-  if (kind == traffic_kind)
+  if (kind == routing_table_kind)
     operation.object_kind = ObjectKind::configuration;
   if (kind == orders_kind && zone_orders_ == ZoneOrderModel::expiring)
     operation.object_kind = ObjectKind::zone_order;
   return operation;
 }
 
-std::size_t ControlCallRecorder::asked(const std::string& caller, const std::string& daemon, const EditAsk& ask,
+std::size_t ControlCallRecorder::asked(const std::string& caller, const std::string& daemon, const EditRequest& request,
                                        std::int64_t now) {
-  objects_.insert({ask.kind, ask.name});
-  Operation operation = operation_on(ask.kind, ask.name);
+  objects_.insert({request.kind, request.name});
+  Operation operation = operation_on(request.kind, request.name);
   operation.caller = caller;
   operation.daemon = daemon;
   operation.kind = OperationKind::change;
   operation.invoked_at = now;
   if (operation.object_kind == ObjectKind::configuration)
-    fill_configuration_change(operation, ask);
+    fill_configuration_change(operation, request);
   else if (operation.object_kind == ObjectKind::resource)
-    fill_resource_change(operation, ask);
+    fill_resource_change(operation, request);
   else
-    operation.value = ask.body;
+    operation.value = request.body;
   return recorder_.invoke(std::move(operation));
 }
 
-void ControlCallRecorder::answered(std::size_t call, const EditAnswer& answer, std::int64_t now) {
+void ControlCallRecorder::answered(std::size_t call, const EditResponse& response, std::int64_t now) {
   Operation& operation = recorder_.returned(call, now);
-  operation.outcome = outcome_of(operation, answer.code);
+  operation.outcome = outcome_of(operation, response.code);
   bool is_counted = operation.object_kind == ObjectKind::resource && operation.kind == OperationKind::change;
   if (is_counted && operation.outcome == CallOutcome::acknowledged)
-    operation.revision = answer.version;
+    operation.revision = response.version;
 }
 
 void ControlCallRecorder::was_read(const Reader& reader, std::int64_t now, const FleetState& state) {
--- a/packages/master-election/src/master_election.cpp
+++ b/packages/master-election/src/master_election.cpp
@@ -6,7 +6,7 @@
 
 namespace emberdale {
 
-void MasterElection::start(Moment now) {
+void MasterElection::start(TimePoint now) {
   if (phase_ != Phase::idle)
     return;
   started_ = now;
@@ -18,8 +18,8 @@
     peers_.insert(peer);
 }
 
-void MasterElection::set_roster(const std::vector<DaemonEntry>& roster, Integer term, const Address& term_master,
-                                Moment now) {
+void MasterElection::set_roster(const std::vector<DaemonEntry>& roster, std::int64_t term, const Address& term_master,
+                                TimePoint now) {
   roster_.clear();
   for (const auto& entry : roster)
     roster_.insert(entry.address);
@@ -48,10 +48,10 @@
 void MasterElection::ping_everyone() {
   for (const auto& peer : peers_)
     if (left_.count(peer) == 0)
-      out_.push_back({peer, Ping{ask_, self_, master_, version_}});
+      out_.push_back({peer, PingRequest{ask_, self_, master_, version_}});
 }
 
-void MasterElection::begin_round(Moment now) {
+void MasterElection::begin_round(TimePoint now) {
   ++counts_.rounds;
   phase_ = Phase::pinging;
   ++ask_;
@@ -62,9 +62,9 @@
   ping_everyone();
 }
 
-void MasterElection::pause(Moment now) {
+void MasterElection::pause(TimePoint now) {
   phase_ = Phase::pausing;
-  phase_end_ = now + Span{times_.pause.value + random_.below(times_.pause.value)};
+  phase_end_ = now + Duration{times_.pause.value + random_.below(times_.pause.value)};
 }
 
 // More than half of the eligible daemons find that master down: they answer, and name it no more.
@@ -80,13 +80,13 @@
   return find_it_down > roster_.size() / 2;
 }
 
-void MasterElection::end_round(Moment now) {
+void MasterElection::end_round(TimePoint now) {
   std::set<Address> active;
   for (const auto& [daemon, answer] : answers_)
     if (!answer.master.empty() && answer.master != self_.address && !is_found_down(answer.master))
       active.insert(answer.master);
   if (!active.empty()) {
-    starved_rounds_ = 0;
+    rounds_without_quorum_ = 0;
     joining_ = *active.begin();
   } else {
     struct Candidate {
@@ -101,11 +101,11 @@
         candidates.push_back({answer.version, daemon});
     if (roster_.empty() || candidates.size() < quorum()) {
       ++counts_.starved;
-      ++starved_rounds_;
+      ++rounds_without_quorum_;
       pause(now);
       return;
     }
-    starved_rounds_ = 0;
+    rounds_without_quorum_ = 0;
     std::sort(candidates.begin(), candidates.end(), [](const Candidate& a, const Candidate& b) {
       return a.version == b.version ? a.daemon < b.daemon : b.version < a.version;
     });
@@ -125,18 +125,18 @@
   phase_ = Phase::joining;
   phase_end_ = now + times_.join + times_.join;  // the master-to-be waits for joins, then claims
   ++ask_;
-  out_.push_back({joining_, Join{ask_, self_, version_, active.empty() ? term_ : -1,
-                                 answer == answers_.end() ? 0 : answer->second.stamp}});
+  out_.push_back({joining_, JoinRequest{ask_, self_, version_, active.empty() ? term_ : -1,
+                                        answer == answers_.end() ? 0 : answer->second.stamp}});
 }
 
-void MasterElection::check_joins(Moment now) {
+void MasterElection::check_joins(TimePoint now) {
   if (phase_ != Phase::awaiting_joins)
     return;
   std::set<Address> joined, promised{self_.address};
   for (const auto& [daemon, join] : joins_)
     if (is_eligible(daemon) && now - join.at <= times_.ping_round) {
       joined.insert(daemon);
-      if (join.term == term_ && now - Moment{join.stamp} <= promise_length)
+      if (join.term == term_ && now - TimePoint{join.stamp} <= promise_length)
         promised.insert(daemon);
     }
   if (joined.size() + 1 < quorum())
@@ -147,13 +147,13 @@
 
 void MasterElection::refuse_joins(const std::string& reason) {
   for (const auto& [daemon, join] : joins_)
-    out_.push_back({daemon, JoinAnswer{join.ask, false, term_, reason}});
+    out_.push_back({daemon, JoinResponse{join.ask, false, term_, reason}});
   joins_.clear();
 }
 
-std::optional<TermClaim> MasterElection::take_claim() { return std::exchange(claim_, std::nullopt); }
+std::optional<TermClaim> MasterElection::drain_claim() { return std::exchange(claim_, std::nullopt); }
 
-void MasterElection::claim_ended(bool is_won, Integer term, Moment now) {
+void MasterElection::claim_ended(bool is_won, std::int64_t term, TimePoint now) {
   if (phase_ != Phase::claiming)
     return;
   if (!is_won) {
@@ -171,12 +171,12 @@
   shown_stamps_.clear();
   for (const auto& [daemon, join] : joins_) {
     followers_[daemon] = shown_stamps_[daemon] = now;
-    out_.push_back({daemon, JoinAnswer{join.ask, true, term_, ""}});
+    out_.push_back({daemon, JoinResponse{join.ask, true, term_, ""}});
   }
   joins_.clear();
 }
 
-void MasterElection::step_down(Moment now) {
+void MasterElection::step_down(TimePoint now) {
   ++counts_.stepped_down;
   master_ = Address{};
   followers_.clear();
@@ -187,7 +187,7 @@
   master_ = Address{};
   phase_ = Phase::idle;
   for (const auto& peer : peers_)
-    out_.push_back({peer, Leave{self_}});
+    out_.push_back({peer, LeaveNotice{self_}});
 }
 
 // All known have answered, have taken their leave, or are gone; and the roster has been read.
@@ -199,7 +199,7 @@
 
 // A definite refusal is the quickest failed ping. It ends waiting, and decides nothing: whether a master is
 // down is still for more than half to find.
-void MasterElection::refused(const Address& peer, Moment now) {
+void MasterElection::refused(const Address& peer, TimePoint now) {
   followers_.erase(peer);
   if (phase_ == Phase::following && peer == master_) {
     master_ = Address{};
@@ -217,13 +217,13 @@
     end_round(now);
 }
 
-Integer MasterElection::acknowledgement(Moment now) const {
+std::int64_t MasterElection::acknowledgement(TimePoint now) const {
   bool may_acknowledgement =
       promised_through_ < term_ && stamp_term_ == term_ && now - started_ >= acknowledgement_quarantine;
   return may_acknowledgement ? stamp_ : 0;
 }
 
-bool MasterElection::is_acknowledged(const std::vector<Address>& roster, Span age, Moment now) const {
+bool MasterElection::is_acknowledged(const std::vector<Address>& roster, Duration age, TimePoint now) const {
   std::size_t acknowledged = 0;
   for (const auto& daemon : roster) {
     auto entry = acknowledgements_.find(daemon);
@@ -233,8 +233,8 @@
   return acknowledged > roster.size() / 2;
 }
 
-Moment MasterElection::quorum_confirmed(Moment now) const {
-  std::vector<Moment> shown;
+TimePoint MasterElection::quorum_confirmed(TimePoint now) const {
+  std::vector<TimePoint> shown;
   for (const auto& daemon : roster_) {
     auto entry = shown_stamps_.find(daemon);
     if (daemon == self_.address)
@@ -243,67 +243,67 @@
       shown.push_back(entry->second);
   }
   if (phase_ != Phase::leading || shown.size() < quorum())
-    return Moment{-1000000};
-  std::sort(shown.begin(), shown.end(), [](Moment a, Moment b) { return b < a; });
+    return TimePoint{-1000000};
+  std::sort(shown.begin(), shown.end(), [](TimePoint a, TimePoint b) { return b < a; });
   return shown[quorum() - 1];
 }
 
-bool MasterElection::on_message(const Address& from, const Message& message, Moment now) {
-  if (const auto* ping = std::get_if<Ping>(&message)) {
+bool MasterElection::on_message(const Address& from, const Message& message, TimePoint now) {
+  if (const auto* ping = std::get_if<PingRequest>(&message)) {
     if (ping->sender.role == "edge")
       learn(from);
     left_.erase(from);
     return false;  // the daemon answers with all it knows
   }
-  if (const auto* answer = std::get_if<PingAnswer>(&message)) {
-    if (answer->sender.role != "edge")
+  if (const auto* response = std::get_if<PingResponse>(&message)) {
+    if (response->sender.role != "edge")
       return false;
     learn(from);
-    for (const auto& entry : answer->known)
+    for (const auto& entry : response->known_daemons)
       if (entry.role == "edge" && peers_.count(entry.address) == 0 && entry.address != self_.address) {
         learn(entry.address);
         if (phase_ == Phase::pinging)
-          out_.push_back({entry.address, Ping{ask_, self_, master_, version_}});
+          out_.push_back({entry.address, PingRequest{ask_, self_, master_, version_}});
       }
-    if (phase_ == Phase::pinging && answer->ask == ask_) {
-      answers_[from] = {answer->master, answer->version, answer->stamp};
+    if (phase_ == Phase::pinging && response->request_id == ask_) {
+      answers_[from] = {response->master, response->version, response->response_timestamp};
       refused_.erase(from);
       if (has_heard_all())
         end_round(now);
     }
     return false;
   }
-  if (const auto* join = std::get_if<Join>(&message)) {
+  if (const auto* join = std::get_if<JoinRequest>(&message)) {
     learn(from);
     if (phase_ == Phase::leading) {
       followers_[from] = now;
-      out_.push_back({from, JoinAnswer{join->ask, true, term_, ""}});
+      out_.push_back({from, JoinResponse{join->request_id, true, term_, ""}});
     } else if (phase_ == Phase::following) {
-      out_.push_back({from, JoinAnswer{join->ask, false, term_, "following another"}});
+      out_.push_back({from, JoinResponse{join->request_id, false, term_, "following another"}});
     } else {
-      joins_[from] = {now, join->ask, join->term, join->stamp};
+      joins_[from] = {now, join->request_id, join->term, join->response_timestamp};
       check_joins(now);
     }
     return true;
   }
-  if (const auto* answer = std::get_if<JoinAnswer>(&message)) {
-    if (phase_ != Phase::joining || answer->ask != ask_ || from != joining_)
+  if (const auto* response = std::get_if<JoinResponse>(&message)) {
+    if (phase_ != Phase::joining || response->request_id != ask_ || from != joining_)
       return true;
-    if (!answer->granted || answer->term < term_) {
+    if (!response->granted || response->term < term_) {
       ++counts_.joins_failed;
       pause(now);
       return true;
     }
     phase_ = Phase::following;
     master_ = from;
-    term_ = answer->term;
+    term_ = response->term;
     term_master_ = from;
     master_heard_ = now;
-    follow_next_ = now;
+    heartbeat_next_ = now;
     refuse_joins("following another");  // else they would wait out their join in vain
     return true;
   }
-  if (const auto* leave = std::get_if<Leave>(&message)) {
+  if (const auto* leave = std::get_if<LeaveNotice>(&message)) {
     left_.insert(from);
     answers_.erase(leave->sender.address);
     peers_.erase(leave->sender.address);
@@ -316,42 +316,43 @@
     }
     return true;
   }
-  if (const auto* follow = std::get_if<Follow>(&message)) {
+  if (const auto* heartbeat = std::get_if<Heartbeat>(&message)) {
     bool is_ours = phase_ == Phase::leading;
     if (is_ours) {
       followers_[from] = now;
-      Moment acknowledged{follow->acknowledgement};
-      if (follow->term == term_ && follow->acknowledgement > 0 && acknowledgements_[from] < acknowledged)
+      TimePoint acknowledged{heartbeat->acknowledged_timestamp};
+      if (heartbeat->term == term_ && heartbeat->acknowledged_timestamp > 0 && acknowledgements_[from] < acknowledged)
         acknowledgements_[from] = acknowledged;
-      Moment shown{follow->stamp};
-      if (follow->term == term_ && follow->stamp > 0 && shown <= now && shown_stamps_[from] < shown)
+      TimePoint shown{heartbeat->master_timestamp};
+      if (heartbeat->term == term_ && heartbeat->master_timestamp > 0 && shown <= now && shown_stamps_[from] < shown)
         shown_stamps_[from] = shown;
     }
-    Integer quorum_age = is_ours ? (now - quorum_confirmed(now)).value : 0;
-    out_.push_back({from, FollowAnswer{is_ours ? term_ : 0, is_ours, version_, now.value, follow->sent, quorum_age}});
+    std::int64_t quorum_age = is_ours ? (now - quorum_confirmed(now)).value : 0;
+    out_.push_back(
+        {from, HeartbeatResponse{is_ours ? term_ : 0, is_ours, version_, now.value, heartbeat->sent_at, quorum_age}});
     return false;  // the daemon reads the statuses in it
   }
-  if (const auto* answer = std::get_if<FollowAnswer>(&message)) {
+  if (const auto* response = std::get_if<HeartbeatResponse>(&message)) {
     if (phase_ != Phase::following || from != master_)
       return true;
-    if (!answer->master || answer->term < term_) {  // the state still shows no master
+    if (!response->from_master || response->term < term_) {  // the state still shows no master
       master_ = Address{};
       begin_round(now);
       return true;
     }
     master_heard_ = now;
-    stamp_ = answer->stamp;
-    stamp_term_ = answer->term;
+    stamp_ = response->master_timestamp;
+    stamp_term_ = response->term;
     // What an older map says is not confirmed by the master that has a newer one.
-    Moment confirmed{answer->follow_sent - answer->quorum_age};
-    if (answer->follow_sent > 0 && !(version_ < answer->version) && master_confirmed_ < confirmed)
+    TimePoint confirmed{response->heartbeat_sent_at - response->quorum_age_ms};
+    if (response->heartbeat_sent_at > 0 && !(version_ < response->version) && master_confirmed_ < confirmed)
       master_confirmed_ = confirmed;
     return true;
   }
   return false;
 }
 
-void MasterElection::on_timer(Moment now) {
+void MasterElection::on_timer(TimePoint now) {
   switch (phase_) {
     case Phase::idle:
     case Phase::claiming:
@@ -401,6 +402,6 @@
   }
 }
 
-std::vector<Sending> MasterElection::take_out() { return std::exchange(out_, {}); }
+std::vector<OutboundMessage> MasterElection::drain_outbound() { return std::exchange(out_, {}); }
 
 }  // namespace emberdale
--- a/packages/message-tables/include/emberdale/control_messages.hpp
+++ b/packages/message-tables/include/emberdale/control_messages.hpp
@@ -11,10 +11,10 @@
 namespace emberdale {
 
 // Discovery: who is there, and whom it follows.
-struct Ping {
+struct PingRequest {
   static constexpr const char* wire_name = "Ping";
 
-  std::int64_t ask = 0;
+  std::int64_t request_id = 0;
   DaemonEntry sender{};
   // Whom the sender follows; empty if nobody.
   Address master{};
@@ -23,7 +23,7 @@
 
   template <class Self, class Visitor>
   static void visit_fields(Self& self, Visitor&& visit) {
-    visit("ask", self.ask);
+    visit("ask", self.request_id);
     visit("sender", self.sender);
     visit("master", self.master);
     visit("version", self.version);
@@ -31,59 +31,59 @@
 };
 
 // Answers PingRequest.
-struct PingAnswer {
+struct PingResponse {
   static constexpr const char* wire_name = "PingAnswer";
 
-  std::int64_t ask = 0;
+  std::int64_t request_id = 0;
   DaemonEntry sender{};
   Address master{};
   MapVersion version{};
-  std::vector<DaemonEntry> known{};
+  std::vector<DaemonEntry> known_daemons{};
   std::vector<AcceptorEntry> acceptors{};
-  std::string fleet{};
+  std::string fleet_name{};
   // The sender's clock; a later JoinRequest returns it.
-  std::int64_t stamp = 0;
+  std::int64_t response_timestamp = 0;
 
   template <class Self, class Visitor>
   static void visit_fields(Self& self, Visitor&& visit) {
-    visit("ask", self.ask);
+    visit("ask", self.request_id);
     visit("sender", self.sender);
     visit("master", self.master);
     visit("version", self.version);
-    visit("known", self.known);
+    visit("known", self.known_daemons);
     visit("acceptors", self.acceptors);
-    visit("fleet", self.fleet);
-    visit("stamp", self.stamp);
+    visit("fleet", self.fleet_name);
+    visit("stamp", self.response_timestamp);
   }
 };
 
 // Asks a candidate to count the sender as its follower.
-struct Join {
+struct JoinRequest {
   static constexpr const char* wire_name = "Join";
 
-  std::int64_t ask = 0;
+  std::int64_t request_id = 0;
   DaemonEntry sender{};
   MapVersion version{};
   // The newest term that the sender will acknowledge nothing for from now on.
   std::int64_t term = 0;
   // Of the candidate's PingResponse that led to this.
-  std::int64_t stamp = 0;
+  std::int64_t response_timestamp = 0;
 
   template <class Self, class Visitor>
   static void visit_fields(Self& self, Visitor&& visit) {
-    visit("ask", self.ask);
+    visit("ask", self.request_id);
     visit("sender", self.sender);
     visit("version", self.version);
     visit("term", self.term);
-    visit("stamp", self.stamp);
+    visit("stamp", self.response_timestamp);
   }
 };
 
 // Answers JoinRequest.
-struct JoinAnswer {
+struct JoinResponse {
   static constexpr const char* wire_name = "JoinAnswer";
 
-  std::int64_t ask = 0;
+  std::int64_t request_id = 0;
   bool granted = false;
   std::int64_t term = 0;
   // Why it was not granted.
@@ -91,7 +91,7 @@
 
   template <class Self, class Visitor>
   static void visit_fields(Self& self, Visitor&& visit) {
-    visit("ask", self.ask);
+    visit("ask", self.request_id);
     visit("granted", self.granted);
     visit("term", self.term);
     visit("reason", self.reason);
@@ -99,7 +99,7 @@
 };
 
 // The sender stops; its peers need not wait for it.
-struct Leave {
+struct LeaveNotice {
   static constexpr const char* wire_name = "Leave";
 
   DaemonEntry sender{};
@@ -111,17 +111,17 @@
 };
 
 // The master's newest map.
-struct MapNews {
+struct PlacementUpdate {
   static constexpr const char* wire_name = "MapNews";
 
   PlacementMap map{};
   // The receiver holds these rows already.
-  bool lacks_traffic = false;
+  bool omits_routing_table = false;
 
   template <class Self, class Visitor>
   static void visit_fields(Self& self, Visitor&& visit) {
     visit("map", self.map);
-    visit("lacks_traffic", self.lacks_traffic);
+    visit("lacks_traffic", self.omits_routing_table);
   }
 };
 
@@ -130,111 +130,111 @@
   static constexpr const char* wire_name = "RunnerStatus";
 
   RunnerName name{};
-  bool answers = false;
-  bool cold = false;
+  bool is_reachable = false;
+  bool is_warming_up = false;
   std::int64_t incarnation = 0;
   std::int64_t capacity = 0;
   std::int64_t load = 0;
   std::int64_t allowance = 0;
   // Since the probe.
-  std::int64_t age = 0;
+  std::int64_t age_ms = 0;
 
   template <class Self, class Visitor>
   static void visit_fields(Self& self, Visitor&& visit) {
     visit("name", self.name);
-    visit("answers", self.answers);
-    visit("cold", self.cold);
+    visit("answers", self.is_reachable);
+    visit("cold", self.is_warming_up);
     visit("incarnation", self.incarnation);
     visit("capacity", self.capacity);
     visit("load", self.load);
     visit("allowance", self.allowance);
-    visit("age", self.age);
+    visit("age", self.age_ms);
   }
 };
 
 // Which configuration a data daemon has in force.
-struct InForce {
+struct DaemonStatus {
   static constexpr const char* wire_name = "InForce";
 
   DaemonEntry daemon{};
   MapVersion version{};
   std::int64_t config_revision = 0;
   // It holds a grant to serve.
-  bool granted = false;
-  bool leaving = false;
+  bool has_grant = false;
+  bool is_draining = false;
   // Since the daemon said so.
-  std::int64_t age = 0;
+  std::int64_t age_ms = 0;
 
   template <class Self, class Visitor>
   static void visit_fields(Self& self, Visitor&& visit) {
     visit("daemon", self.daemon);
     visit("version", self.version);
     visit("config_revision", self.config_revision);
-    visit("granted", self.granted);
-    visit("leaving", self.leaving);
-    visit("age", self.age);
+    visit("granted", self.has_grant);
+    visit("leaving", self.is_draining);
+    visit("age", self.age_ms);
   }
 };
 
 // A follower reports to its master.
-struct Follow {
+struct Heartbeat {
   static constexpr const char* wire_name = "Follow";
 
   DaemonEntry sender{};
   std::int64_t term = 0;
   // The newest timestamp of the master's clock; 0 if the follower has promised to acknowledge nothing for this term.
-  std::int64_t acknowledgement = 0;
+  std::int64_t acknowledged_timestamp = 0;
   MapVersion version{};
-  std::int64_t traffic_of = 0;
-  std::vector<RunnerStatus> statuses{};
-  std::vector<InForce> in_force{};
+  std::int64_t routing_table_revision = 0;
+  std::vector<RunnerStatus> runner_statuses{};
+  std::vector<DaemonStatus> daemon_statuses{};
   // The newest of the master's clock that the follower has seen in this term.
-  std::int64_t stamp = 0;
+  std::int64_t master_timestamp = 0;
   // The follower's clock.
-  std::int64_t sent = 0;
+  std::int64_t sent_at = 0;
 
   template <class Self, class Visitor>
   static void visit_fields(Self& self, Visitor&& visit) {
     visit("sender", self.sender);
     visit("term", self.term);
-    visit("acknowledgement", self.acknowledgement);
+    visit("acknowledgement", self.acknowledged_timestamp);
     visit("version", self.version);
-    visit("traffic_of", self.traffic_of);
-    visit("statuses", self.statuses);
-    visit("in_force", self.in_force);
-    visit("stamp", self.stamp);
-    visit("sent", self.sent);
+    visit("traffic_of", self.routing_table_revision);
+    visit("statuses", self.runner_statuses);
+    visit("in_force", self.daemon_statuses);
+    visit("stamp", self.master_timestamp);
+    visit("sent", self.sent_at);
   }
 };
 
 // Answers Heartbeat.
-struct FollowAnswer {
+struct HeartbeatResponse {
   static constexpr const char* wire_name = "FollowAnswer";
 
   std::int64_t term = 0;
   // The sender is the master of this term.
-  bool master = false;
+  bool from_master = false;
   MapVersion version{};
   // The sender's clock.
-  std::int64_t stamp = 0;
+  std::int64_t master_timestamp = 0;
   // `sent_at` of the Heartbeat that this answers.
-  std::int64_t follow_sent = 0;
+  std::int64_t heartbeat_sent_at = 0;
   // Since a moment at which a quorum surely followed this master.
-  std::int64_t quorum_age = 0;
+  std::int64_t quorum_age_ms = 0;
 
   template <class Self, class Visitor>
   static void visit_fields(Self& self, Visitor&& visit) {
     visit("term", self.term);
-    visit("master", self.master);
+    visit("master", self.from_master);
     visit("version", self.version);
-    visit("stamp", self.stamp);
-    visit("follow_sent", self.follow_sent);
-    visit("quorum_age", self.quorum_age);
+    visit("stamp", self.master_timestamp);
+    visit("follow_sent", self.heartbeat_sent_at);
+    visit("quorum_age", self.quorum_age_ms);
   }
 };
 
 // Which version of a topic a subscriber holds.
-struct TopicKnown {
+struct TopicVersion {
   static constexpr const char* wire_name = "TopicKnown";
 
   std::string topic{};
@@ -252,13 +252,13 @@
   static constexpr const char* wire_name = "Subscribe";
 
   DaemonEntry sender{};
-  std::vector<TopicKnown> topics{};
+  std::vector<TopicVersion> topics{};
   MapVersion version{};
   std::int64_t config_revision = 0;
-  bool granted = false;
-  bool leaving = false;
+  bool has_grant = false;
+  bool is_draining = false;
   // The subscriber's clock.
-  std::int64_t stamp = 0;
+  std::int64_t sent_at = 0;
 
   template <class Self, class Visitor>
   static void visit_fields(Self& self, Visitor&& visit) {
@@ -266,53 +266,53 @@
     visit("topics", self.topics);
     visit("version", self.version);
     visit("config_revision", self.config_revision);
-    visit("granted", self.granted);
-    visit("leaving", self.leaving);
-    visit("stamp", self.stamp);
+    visit("granted", self.has_grant);
+    visit("leaving", self.is_draining);
+    visit("stamp", self.sent_at);
   }
 };
 
 // One topic of the map, whole or as a change.
-struct SliceNews {
+struct SliceUpdate {
   static constexpr const char* wire_name = "SliceNews";
 
   std::string topic{};
   MapVersion version{};
   std::int64_t config_revision = 0;
   // The rows are the whole topic and replace what the subscriber holds.
-  bool whole = false;
+  bool is_snapshot = false;
   // Of the rows that the change applies to.
-  MapVersion base{};
+  MapVersion base_version{};
   // Since a quorum surely followed the master, when this update was made.
-  std::int64_t age = 0;
+  std::int64_t quorum_age_ms = 0;
   std::vector<SliceRow> rows{};
-  std::vector<std::string> gone{};
+  std::vector<std::string> removed_keys{};
   // `sent_at` of the newest Subscribe that had arrived when this update was made.
-  std::int64_t stamp = 0;
+  std::int64_t subscribe_sent_at = 0;
 
   template <class Self, class Visitor>
   static void visit_fields(Self& self, Visitor&& visit) {
     visit("topic", self.topic);
     visit("version", self.version);
     visit("config_revision", self.config_revision);
-    visit("whole", self.whole);
-    visit("base", self.base);
-    visit("age", self.age);
+    visit("whole", self.is_snapshot);
+    visit("base", self.base_version);
+    visit("age", self.quorum_age_ms);
     visit("rows", self.rows);
-    visit("gone", self.gone);
-    visit("stamp", self.stamp);
+    visit("gone", self.removed_keys);
+    visit("stamp", self.subscribe_sent_at);
   }
 };
 
 // A data daemon asks the master for a lease.
-struct LeaseAsk {
+struct LeaseRequest {
   static constexpr const char* wire_name = "LeaseAsk";
 
-  std::int64_t ask = 0;
+  std::int64_t request_id = 0;
 
   template <class Self, class Visitor>
   static void visit_fields(Self& self, Visitor&& visit) {
-    visit("ask", self.ask);
+    visit("ask", self.request_id);
   }
 };
 
@@ -320,83 +320,83 @@
 struct LeaseGrant {
   static constexpr const char* wire_name = "LeaseGrant";
 
-  std::int64_t ask = 0;
+  std::int64_t request_id = 0;
   MapVersion minimum_version{};
 
   template <class Self, class Visitor>
   static void visit_fields(Self& self, Visitor&& visit) {
-    visit("ask", self.ask);
+    visit("ask", self.request_id);
     visit("minimum_version", self.minimum_version);
   }
 };
 
 // Stops new requests to a runner or zone while a change that takes it out of service is on its way.
-struct Hold {
+struct DispatchBlock {
   static constexpr const char* wire_name = "Hold";
 
-  std::string change{};
+  std::string change_id{};
   // Empty if a zone is blocked.
   RunnerName runner{};
   // Empty if a runner is blocked.
   ZoneName zone{};
   // The block ends.
-  bool lifted = false;
+  bool is_lifted = false;
   // A data daemon has passed the block on; it goes no further.
-  bool relayed = false;
+  bool is_relayed = false;
 
   template <class Self, class Visitor>
   static void visit_fields(Self& self, Visitor&& visit) {
-    visit("change", self.change);
+    visit("change", self.change_id);
     visit("runner", self.runner);
     visit("zone", self.zone);
-    visit("lifted", self.lifted);
-    visit("relayed", self.relayed);
+    visit("lifted", self.is_lifted);
+    visit("relayed", self.is_relayed);
   }
 };
 
 // An operator's change on its way to the master.
-struct EditAsk {
+struct EditRequest {
   static constexpr const char* wire_name = "EditAsk";
 
-  std::int64_t ask = 0;
-  std::string change{};
+  std::int64_t request_id = 0;
+  std::string change_id{};
   // "put", "delete" and the like; see edit_actions.hpp.
-  std::string act{};
+  std::string action{};
   // Of the resource.
   std::string kind{};
   // Of the resource.
   std::string name{};
   // -1: any; 0: the resource must not exist.
-  std::int64_t expected = 0;
+  std::int64_t expected_version = 0;
   // JSON.
   std::string body{};
   // Only the master of this term may apply the change.
   std::int64_t term = 0;
   // Since the sender received the change.
-  std::int64_t age = 0;
+  std::int64_t age_ms = 0;
   // The newest of the master's clock in that term that the sender has seen; 0: none.
-  std::int64_t stamp = 0;
+  std::int64_t master_timestamp = 0;
 
   template <class Self, class Visitor>
   static void visit_fields(Self& self, Visitor&& visit) {
-    visit("ask", self.ask);
-    visit("change", self.change);
-    visit("act", self.act);
+    visit("ask", self.request_id);
+    visit("change", self.change_id);
+    visit("act", self.action);
     visit("kind", self.kind);
     visit("name", self.name);
-    visit("expected", self.expected);
+    visit("expected", self.expected_version);
     visit("body", self.body);
     visit("term", self.term);
-    visit("age", self.age);
-    visit("stamp", self.stamp);
+    visit("age", self.age_ms);
+    visit("stamp", self.master_timestamp);
   }
 };
 
 // Answers EditRequest.
-struct EditAnswer {
+struct EditResponse {
   static constexpr const char* wire_name = "EditAnswer";
 
-  std::int64_t ask = 0;
+  std::int64_t request_id = 0;
   // An HTTP status; 0: the master does nothing with this copy of the request.
   std::int64_t code = 0;
   // Of the resource.
@@ -405,50 +405,50 @@
   std::string body{};
   std::int64_t term = 0;
   // With code 0: the request may be sent again with this timestamp while it is young enough.
-  std::int64_t stamp = 0;
+  std::int64_t master_timestamp = 0;
 
   template <class Self, class Visitor>
   static void visit_fields(Self& self, Visitor&& visit) {
-    visit("ask", self.ask);
+    visit("ask", self.request_id);
     visit("code", self.code);
     visit("version", self.version);
     visit("body", self.body);
     visit("term", self.term);
-    visit("stamp", self.stamp);
+    visit("stamp", self.master_timestamp);
   }
 };
 
 // Asks the master for its map and the fleet's status.
-struct ViewAsk {
+struct ViewRequest {
   static constexpr const char* wire_name = "ViewAsk";
 
-  std::int64_t ask = 0;
+  std::int64_t request_id = 0;
 
   template <class Self, class Visitor>
   static void visit_fields(Self& self, Visitor&& visit) {
-    visit("ask", self.ask);
+    visit("ask", self.request_id);
   }
 };
 
 // Answers ViewRequest.
-struct ViewAnswer {
+struct ViewResponse {
   static constexpr const char* wire_name = "ViewAnswer";
 
-  std::int64_t ask = 0;
+  std::int64_t request_id = 0;
   // The sender is the master.
-  bool master = false;
+  bool from_master = false;
   // It has been long enough for every data daemon to have reported.
-  bool settled = false;
+  bool is_settled = false;
   PlacementMap map{};
-  std::vector<InForce> in_force{};
+  std::vector<DaemonStatus> daemon_statuses{};
 
   template <class Self, class Visitor>
   static void visit_fields(Self& self, Visitor&& visit) {
-    visit("ask", self.ask);
-    visit("master", self.master);
-    visit("settled", self.settled);
+    visit("ask", self.request_id);
+    visit("master", self.from_master);
+    visit("settled", self.is_settled);
     visit("map", self.map);
-    visit("in_force", self.in_force);
+    visit("in_force", self.daemon_statuses);
   }
 };
 
--- a/packages/message-tables/include/emberdale/fleet_state.hpp
+++ b/packages/message-tables/include/emberdale/fleet_state.hpp
@@ -67,7 +67,7 @@
   // Of its peer connections; identifies the daemon.
   Address address{};
   // Of its HTTP interface.
-  std::string http{};
+  std::string http_address{};
   // "core", "edge" or "data".
   std::string role{};
   ZoneName zone{};
@@ -78,7 +78,7 @@
   template <class Self, class Visitor>
   static void visit_fields(Self& self, Visitor&& visit) {
     visit("address", self.address);
-    visit("http", self.http);
+    visit("http", self.http_address);
     visit("role", self.role);
     visit("zone", self.zone);
     visit("region", self.region);
@@ -126,10 +126,10 @@
 };
 
 // A change that was committed, remembered so that a repeated request is acknowledged and not applied again.
-struct DoneChange {
+struct CompletedChange {
   static constexpr const char* wire_name = "DoneChange";
 
-  std::string change{};
+  std::string change_id{};
   // Of the resource that it made.
   std::int64_t version = 0;
   // Of the configuration that it made.
@@ -139,7 +139,7 @@
 
   template <class Self, class Visitor>
   static void visit_fields(Self& self, Visitor&& visit) {
-    visit("change", self.change);
+    visit("change", self.change_id);
     visit("version", self.version);
     visit("config_revision", self.config_revision);
     visit("digest", self.digest);
@@ -151,7 +151,7 @@
   static constexpr const char* wire_name = "FleetState";
 
   // Given when the fleet is bootstrapped; never changes.
-  std::string fleet{};
+  std::string fleet_name{};
   // Counts the values; each change adds one.
   std::int64_t version = 0;
   // Counts the changes of resources.
@@ -167,7 +167,7 @@
   Address master{};
   // The time that the master of this term waits before it acknowledges changes: leases of the previous term end
   // within it.
-  std::int64_t ack_wait = 0;
+  std::int64_t acknowledgement_wait_ms = 0;
   // The oldest map version that may still serve.
   MapVersion minimum_version{};
   // Daemons of which a majority must acknowledge before the master grants leases.
@@ -177,11 +177,11 @@
   // The replica set that a joint change leads to; empty if none is under way.
   std::vector<AcceptorEntry> next_acceptors{};
   // The newest changes, oldest first.
-  std::vector<DoneChange> done{};
+  std::vector<CompletedChange> completed_changes{};
 
   template <class Self, class Visitor>
   static void visit_fields(Self& self, Visitor&& visit) {
-    visit("fleet", self.fleet);
+    visit("fleet", self.fleet_name);
     visit("version", self.version);
     visit("config_revision", self.config_revision);
     visit("resources", self.resources);
@@ -189,12 +189,12 @@
     visit("roster", self.roster);
     visit("term", self.term);
     visit("master", self.master);
-    visit("ack_wait", self.ack_wait);
+    visit("ack_wait", self.acknowledgement_wait_ms);
     visit("minimum_version", self.minimum_version);
     visit("lease_roster", self.lease_roster);
     visit("acceptors", self.acceptors);
     visit("next_acceptors", self.next_acceptors);
-    visit("done", self.done);
+    visit("done", self.completed_changes);
   }
 };
 
--- a/packages/message-tables/include/emberdale/messages.hpp
+++ b/packages/message-tables/include/emberdale/messages.hpp
@@ -10,16 +10,14 @@
 
 namespace emberdale {
 
-using Integer = std::int64_t;
-using Text = std::string;
-
 // The position of an alternative is the message's number on the wire: new ones are added at the end.
-using Message = std::variant<Prepare, Promise, Accept, Accepted, ReadAsk, ReadAnswer, Found, FoundAnswer, Ping,
-                             PingAnswer, Join, JoinAnswer, Leave, MapNews, Follow, FollowAnswer, Subscribe, SliceNews,
-                             EditAsk, EditAnswer, LeaseAsk, LeaseGrant, Hold, ViewAsk, ViewAnswer>;
+using Message = std::variant<Prepare, Promise, Accept, Accepted, ReadRequest, ReadResponse, BootstrapRequest,
+                             BootstrapResponse, PingRequest, PingResponse, JoinRequest, JoinResponse, LeaveNotice,
+                             PlacementUpdate, Heartbeat, HeartbeatResponse, Subscribe, SliceUpdate, EditRequest,
+                             EditResponse, LeaseRequest, LeaseGrant, DispatchBlock, ViewRequest, ViewResponse>;
 
 // A message that a state machine wants delivered.
-struct Sending {
+struct OutboundMessage {
   Address to;
   Message message;
 };
--- a/packages/message-tables/include/emberdale/placement_records.hpp
+++ b/packages/message-tables/include/emberdale/placement_records.hpp
@@ -9,16 +9,16 @@
 namespace emberdale {
 
 // How many requests a second one data daemon may send to a runner that is still warming up.
-struct ColdGrant {
+struct WarmupGrant {
   static constexpr const char* wire_name = "ColdGrant";
 
   Address daemon{};
-  std::int64_t calls = 0;
+  std::int64_t requests = 0;
 
   template <class Self, class Visitor>
   static void visit_fields(Self& self, Visitor&& visit) {
     visit("daemon", self.daemon);
-    visit("calls", self.calls);
+    visit("calls", self.requests);
   }
 };
 
@@ -27,7 +27,7 @@
   static constexpr const char* wire_name = "RunnerRow";
 
   RunnerName name{};
-  std::string http{};
+  std::string http_address{};
   PoolName pool{};
   ZoneName zone{};
   RegionName region{};
@@ -41,14 +41,14 @@
   std::int64_t load = 0;
   // Requests a second that it bears while it warms up.
   std::int64_t allowance = 0;
-  std::vector<ColdGrant> grants{};
+  std::vector<WarmupGrant> warmup_grants{};
   // Proves that a response is this runner's own.
   std::string seal_key{};
 
   template <class Self, class Visitor>
   static void visit_fields(Self& self, Visitor&& visit) {
     visit("name", self.name);
-    visit("http", self.http);
+    visit("http", self.http_address);
     visit("pool", self.pool);
     visit("zone", self.zone);
     visit("region", self.region);
@@ -57,7 +57,7 @@
     visit("capacity", self.capacity);
     visit("load", self.load);
     visit("allowance", self.allowance);
-    visit("grants", self.grants);
+    visit("grants", self.warmup_grants);
     visit("seal_key", self.seal_key);
   }
 };
@@ -105,14 +105,14 @@
   static constexpr const char* wire_name = "GatewayRow";
 
   Address daemon{};
-  std::string http{};
+  std::string http_address{};
   ZoneName zone{};
   RegionName region{};
 
   template <class Self, class Visitor>
   static void visit_fields(Self& self, Visitor&& visit) {
     visit("daemon", self.daemon);
-    visit("http", self.http);
+    visit("http", self.http_address);
     visit("zone", self.zone);
     visit("region", self.region);
   }
@@ -142,16 +142,16 @@
   Address master{};
   std::vector<PlanRow> plans{};
   // Of the configuration since which the route table is unchanged.
-  std::int64_t traffic_of = 0;
+  std::int64_t routing_table_revision = 0;
   // The route table, cut into rows; left out for receivers that hold it.
-  std::vector<SliceRow> traffic{};
+  std::vector<SliceRow> routing_table{};
   std::vector<RunnerRow> runners{};
   std::vector<RegionRow> regions{};
   // The data daemons that clients may be sent to.
   std::vector<GatewayRow> gateways{};
   // The control daemons that follow the master.
   std::vector<GatewayRow> edges{};
-  std::vector<ZoneName> emptied{};
+  std::vector<ZoneName> evacuated_zones{};
 
   template <class Self, class Visitor>
   static void visit_fields(Self& self, Visitor&& visit) {
@@ -159,13 +159,13 @@
     visit("config_revision", self.config_revision);
     visit("master", self.master);
     visit("plans", self.plans);
-    visit("traffic_of", self.traffic_of);
-    visit("traffic", self.traffic);
+    visit("traffic_of", self.routing_table_revision);
+    visit("traffic", self.routing_table);
     visit("runners", self.runners);
     visit("regions", self.regions);
     visit("gateways", self.gateways);
     visit("edges", self.edges);
-    visit("emptied", self.emptied);
+    visit("emptied", self.evacuated_zones);
   }
 };
 
--- a/packages/message-tables/include/emberdale/register_messages.hpp
+++ b/packages/message-tables/include/emberdale/register_messages.hpp
@@ -13,19 +13,19 @@
 struct Prepare {
   static constexpr const char* wire_name = "Prepare";
 
-  std::int64_t ask = 0;
+  std::int64_t request_id = 0;
   // The replica that is meant; any other ignores the message.
   StoreId store{};
   Ballot ballot{};
   // The proposer holds the value of this ballot, which need not be sent again.
-  Ballot known{};
+  Ballot known_ballot{};
 
   template <class Self, class Visitor>
   static void visit_fields(Self& self, Visitor&& visit) {
-    visit("ask", self.ask);
+    visit("ask", self.request_id);
     visit("store", self.store);
     visit("ballot", self.ballot);
-    visit("known", self.known);
+    visit("known", self.known_ballot);
   }
 };
 
@@ -33,7 +33,7 @@
 struct Promise {
   static constexpr const char* wire_name = "Promise";
 
-  std::int64_t ask = 0;
+  std::int64_t request_id = 0;
   StoreId store{};
   bool granted = false;
   // The highest ballot that the replica has promised.
@@ -45,7 +45,7 @@
 
   template <class Self, class Visitor>
   static void visit_fields(Self& self, Visitor&& visit) {
-    visit("ask", self.ask);
+    visit("ask", self.request_id);
     visit("store", self.store);
     visit("granted", self.granted);
     visit("promised", self.promised);
@@ -58,7 +58,7 @@
 struct Accept {
   static constexpr const char* wire_name = "Accept";
 
-  std::int64_t ask = 0;
+  std::int64_t request_id = 0;
   StoreId store{};
   Ballot ballot{};
   // An encoded FleetState, or a delta.
@@ -70,7 +70,7 @@
 
   template <class Self, class Visitor>
   static void visit_fields(Self& self, Visitor&& visit) {
-    visit("ask", self.ask);
+    visit("ask", self.request_id);
     visit("store", self.store);
     visit("ballot", self.ballot);
     visit("value", self.value);
@@ -83,66 +83,66 @@
 struct Accepted {
   static constexpr const char* wire_name = "Accepted";
 
-  std::int64_t ask = 0;
+  std::int64_t request_id = 0;
   StoreId store{};
   bool granted = false;
   Ballot promised{};
   // Not granted, as the replica does not hold the base of the delta.
-  bool needs_whole = false;
+  bool needs_full_value = false;
 
   template <class Self, class Visitor>
   static void visit_fields(Self& self, Visitor&& visit) {
-    visit("ask", self.ask);
+    visit("ask", self.request_id);
     visit("store", self.store);
     visit("granted", self.granted);
     visit("promised", self.promised);
-    visit("needs_whole", self.needs_whole);
+    visit("needs_whole", self.needs_full_value);
   }
 };
 
 // Asks a replica for its value.
-struct ReadAsk {
+struct ReadRequest {
   static constexpr const char* wire_name = "ReadAsk";
 
-  std::int64_t ask = 0;
+  std::int64_t request_id = 0;
   // Of the reader; the value is not sent to "data".
   std::string role{};
   // The reader holds the value of this ballot.
-  Ballot known{};
+  Ballot known_ballot{};
   // Asks for the replica's last contacts as well.
-  bool wants_heard = false;
+  bool wants_contacts = false;
   // Asks for the ballot alone, without the value.
-  bool lean = false;
+  bool ballots_only = false;
 
   template <class Self, class Visitor>
   static void visit_fields(Self& self, Visitor&& visit) {
-    visit("ask", self.ask);
+    visit("ask", self.request_id);
     visit("role", self.role);
-    visit("known", self.known);
-    visit("wants_heard", self.wants_heard);
-    visit("lean", self.lean);
+    visit("known", self.known_ballot);
+    visit("wants_heard", self.wants_contacts);
+    visit("lean", self.ballots_only);
   }
 };
 
 // When a replica last received a message of a daemon.
-struct Heard {
+struct LastContact {
   static constexpr const char* wire_name = "Heard";
 
   Address daemon{};
-  std::int64_t age = 0;
+  std::int64_t age_ms = 0;
 
   template <class Self, class Visitor>
   static void visit_fields(Self& self, Visitor&& visit) {
     visit("daemon", self.daemon);
-    visit("age", self.age);
+    visit("age", self.age_ms);
   }
 };
 
 // Answers ReadRequest from what is synced to disk.
-struct ReadAnswer {
+struct ReadResponse {
   static constexpr const char* wire_name = "ReadAnswer";
 
-  std::int64_t ask = 0;
+  std::int64_t request_id = 0;
   StoreId store{};
   // The replica holds no value.
   bool blank = false;
@@ -152,9 +152,9 @@
   MapVersion minimum_version{};
   std::vector<AcceptorEntry> acceptors{};
   std::vector<AcceptorEntry> next_acceptors{};
-  std::vector<Heard> heard{};
+  std::vector<LastContact> contacts{};
   // How long the replica has been receiving messages.
-  std::int64_t awake = 0;
+  std::int64_t uptime_ms = 0;
   // As in Accept.
   Ballot base{};
   // As in Accept.
@@ -162,7 +162,7 @@
 
   template <class Self, class Visitor>
   static void visit_fields(Self& self, Visitor&& visit) {
-    visit("ask", self.ask);
+    visit("ask", self.request_id);
     visit("store", self.store);
     visit("blank", self.blank);
     visit("accepted", self.accepted);
@@ -170,35 +170,35 @@
     visit("minimum_version", self.minimum_version);
     visit("acceptors", self.acceptors);
     visit("next_acceptors", self.next_acceptors);
-    visit("heard", self.heard);
-    visit("awake", self.awake);
+    visit("heard", self.contacts);
+    visit("awake", self.uptime_ms);
     visit("base", self.base);
     visit("digest", self.digest);
   }
 };
 
 // Asks a blank replica to take the first value of the register.
-struct Found {
+struct BootstrapRequest {
   static constexpr const char* wire_name = "Found";
 
-  std::int64_t ask = 0;
+  std::int64_t request_id = 0;
   StoreId store{};
   // An encoded FleetState.
   Bytes value{};
 
   template <class Self, class Visitor>
   static void visit_fields(Self& self, Visitor&& visit) {
-    visit("ask", self.ask);
+    visit("ask", self.request_id);
     visit("store", self.store);
     visit("value", self.value);
   }
 };
 
 // Answers BootstrapRequest.
-struct FoundAnswer {
+struct BootstrapResponse {
   static constexpr const char* wire_name = "FoundAnswer";
 
-  std::int64_t ask = 0;
+  std::int64_t request_id = 0;
   StoreId store{};
   bool granted = false;
   // Why it was not granted.
@@ -206,7 +206,7 @@
 
   template <class Self, class Visitor>
   static void visit_fields(Self& self, Visitor&& visit) {
-    visit("ask", self.ask);
+    visit("ask", self.request_id);
     visit("store", self.store);
     visit("granted", self.granted);
     visit("reason", self.reason);
--- a/packages/message-tables/tests/golden_bytes_test.cpp
+++ b/packages/message-tables/tests/golden_bytes_test.cpp
@@ -26,10 +26,10 @@
 // Gives every field, in field order, a value that differs from its default and from the other fields' values.
 class RecordFiller {
  public:
-  void fill(Integer& number) { number = next() * 1001; }
+  void fill(std::int64_t& number) { number = next() * 1001; }
   // The only other value; that a bool keeps its place among the others is proven by the schema.
   void fill(bool& flag) { flag = true; }
-  void fill(Text& text) { text = "text-" + std::to_string(next()); }
+  void fill(std::string& text) { text = "text-" + std::to_string(next()); }
   void fill(Bytes& bytes) { bytes.data = std::string("\0\xFF", 2) + "bytes-" + std::to_string(next()); }
   template <class Tag>
   void fill(SmallText<Tag>& name) {
@@ -65,8 +65,8 @@
     return false;
   }
 
-  Integer next() { return ++last_; }
-  Integer last_ = 0;
+  std::int64_t next() { return ++last_; }
+  std::int64_t last_ = 0;
 };
 
 template <class Record>
--- a/packages/message-tables/tests/versioned_records_test.cpp
+++ b/packages/message-tables/tests/versioned_records_test.cpp
@@ -106,7 +106,7 @@
 
 FleetState fixture_state() {
   FleetState state;
-  state.fleet = "f1";
+  state.fleet_name = "f1";
   state.version = 5;
   state.config_revision = 3;
   state.resources.push_back({"zone-orders", "z1", 2, 3, R"({"state":"emptied"})"});
@@ -114,12 +114,12 @@
   state.roster.push_back({Address{"10.0.0.1:7000"}, "10.0.0.1:8000", "core", ZoneName{"z1"}, RegionName{"r1"}, 77});
   state.term = 4;
   state.master = Address{"10.0.0.1:7000"};
-  state.ack_wait = 900;
+  state.acknowledgement_wait_ms = 900;
   state.minimum_version = MapVersion{4, 9};
   state.lease_roster = {Address{"10.0.0.2:7000"}};
   state.acceptors = {{StoreId{"s1"}, Address{"10.0.0.1:7000"}}};
   state.next_acceptors = {{StoreId{"s2"}, Address{"10.0.0.2:7000"}}};
-  state.done = {{"change-1", 2, 3}};
+  state.completed_changes = {{"change-1", 2, 3}};
   return state;
 }
 
--- a/packages/model-checker/include/emberdale/fleet_walk.hpp
+++ b/packages/model-checker/include/emberdale/fleet_walk.hpp
@@ -21,8 +21,8 @@
   std::size_t length = 12;             // choices on one walk
   std::set<FleetChoiceKind> left_out;  // kinds of choice that are never offered
   bool watches_orders = true;          // an older zone order over an acknowledged newer one is a violation
-  Span asker_patience{7000};           // how long the daemons take an asker to wait at most
-  Span gives_up_after{0};              // an asker that has waited so long asks anew: its older order must be dead
+  Duration requester_timeout{7000};    // how long the daemons take an asker to wait at most
+  Duration gives_up_after{0};          // an asker that has waited so long asks anew: its older order must be dead
 };
 
 class FleetWalk {
--- a/packages/model-checker/include/emberdale/register_world.hpp
+++ b/packages/model-checker/include/emberdale/register_world.hpp
@@ -98,13 +98,13 @@
   };
   struct Acknowledged {
     int order;
-    Integer version;
+    std::int64_t version;
   };
   // What was ever observed on this path.
   struct History {
-    std::map<Integer, std::uint64_t> values;         // by version: learned or chosen
-    std::map<Integer, std::string> masters;          // by term
-    std::map<Integer, std::string> leading_writers;  // by term: whose writes as a leader were chosen
+    std::map<std::int64_t, std::uint64_t> values;         // by version: learned or chosen
+    std::map<std::int64_t, std::string> masters;          // by term
+    std::map<std::int64_t, std::string> leading_writers;  // by term: whose writes as a leader were chosen
     std::vector<Acknowledged> acknowledged;
     std::set<int> refused;
     FleetState newest;  // the newest that anyone learned
@@ -128,7 +128,7 @@
   Change replacement() const;
   void after_acceptor(std::size_t index);
   void after_proposer(std::size_t index);
-  void send(std::size_t from, std::vector<Sending> sendings);
+  void send(std::size_t from, std::vector<OutboundMessage> outbound_messages);
   bool answer_unasked(std::size_t from, const Message& message);
   void sync(std::size_t index);
   void restart(std::size_t index);
--- a/packages/model-checker/src/fleet_walk.cpp
+++ b/packages/model-checker/src/fleet_walk.cpp
@@ -9,7 +9,7 @@
 namespace emberdale {
 namespace {
 
-constexpr std::int64_t choice_pace = 500, founding_time = 8000, settling_time = 30000, edit_time = 30000;
+constexpr std::int64_t choice_pace = 500, bootstrap_time = 8000, settling_time = 30000, edit_time = 30000;
 const char* const ordered_zone = "z";
 
 struct SubmittedEdit {
@@ -26,16 +26,16 @@
   explicit World(const FleetScenario& chosen) : scenario(chosen), fleet(chosen.seed) {}
 
   void found();
-  void start(const std::string& name, bool founds_itself);
+  void start(const std::string& name, bool bootstraps_itself);
   void run(std::int64_t ms);
   bool run_until(const std::function<bool()>& question, std::int64_t ms);
   std::size_t submit(const std::string& where, bool is_order);
-  void on_answer(std::size_t edit, Integer code, const std::string& body);
+  void on_response(std::size_t edit, std::int64_t code, const std::string& body);
   bool is_disturbed(const std::string& name) const;
   std::size_t disturbed() const;
   bool is_settled();
   bool keeps_majority_without(const std::string& name);
-  void mend_all();
+  void repair_all();
   bool edits_until_acknowledged();
   void look();
   void look_at(const std::string& name);
@@ -50,9 +50,9 @@
   bool is_wiped = false;  // a store was lost, and its successor is not yet in the set
   std::vector<SubmittedEdit> edits;
   int orders = 0;
-  std::map<Integer, std::uint64_t> values;                       // by version
-  std::map<Integer, std::string> masters, publishers;            // by term
-  std::map<std::string, std::pair<Integer, Integer>> last_seen;  // version and term, by machine and life
+  std::map<std::int64_t, std::uint64_t> values;                            // by version
+  std::map<std::int64_t, std::string> masters, publishers;                 // by term
+  std::map<std::string, std::pair<std::int64_t, std::int64_t>> last_seen;  // version and term, by machine and life
   std::string violation;
   std::vector<std::string> events;
 };
@@ -62,8 +62,8 @@
     violation = reason;
 }
 
-void FleetWalk::World::start(const std::string& name, bool founds_itself) {
-  fleet.start(name, founds_itself);
+void FleetWalk::World::start(const std::string& name, bool bootstraps_itself) {
+  fleet.start(name, bootstraps_itself);
   fleet.at(name).control->on_publish = [this, name](const PlacementMap& map) {
     if (publishers.insert({map.version.term, name}).first->second != name)
       fail("two leaders act in term " + std::to_string(map.version.term));
@@ -71,11 +71,11 @@
 }
 
 void FleetWalk::World::found() {
-  fleet.edit_times.asker_patience = fleet.edit_times.leader_wait = scenario.asker_patience;
+  fleet.edit_times.requester_timeout = fleet.edit_times.leader_wait = scenario.requester_timeout;
   names = fleet.add_many(scenario.machines);
   for (const auto& name : names)
     start(name, true);
-  if (!run_until([&] { return fleet.is_settled(names); }, founding_time))
+  if (!run_until([&] { return fleet.is_settled(names); }, bootstrap_time))
     fail("the fleet does not found itself");
 }
 
@@ -100,24 +100,24 @@
   edit.is_order = is_order;
   edit.asked = fleet.now();
   edits.push_back(edit);
-  EditAsk ask;
-  ask.change = edit.change;
-  ask.act = "put";
-  ask.expected = -1;
-  ask.kind = is_order ? orders_kind : runners_kind;
-  ask.name = is_order ? ordered_zone : "runner-" + std::to_string(index);
-  bool is_emptied = is_order && ++orders % 2 == 1;
-  ask.body = is_order ? (is_emptied ? R"({"state":"emptied"})" : R"({"state":"serving"})")
-                      : R"({"address":"127.0.0.1:)" + std::to_string(20000 + index) +
-                            R"(","pool":"models","zone":"a","region":"north","seal_key":"k"})";
+  EditRequest request;
+  request.change_id = edit.change;
+  request.action = "put";
+  request.expected_version = -1;
+  request.kind = is_order ? orders_kind : runners_kind;
+  request.name = is_order ? ordered_zone : "runner-" + std::to_string(index);
+  bool is_evacuated = is_order && ++orders % 2 == 1;
+  request.body = is_order ? (is_evacuated ? R"({"state":"emptied"})" : R"({"state":"serving"})")
+                          : R"({"address":"127.0.0.1:)" + std::to_string(20000 + index) +
+                                R"(","pool":"models","zone":"a","region":"north","seal_key":"k"})";
   Machine& target = fleet.at(where);
   target.control->edit(
-      ask, [this, index](const EditAnswer& answer) { on_answer(index, answer.code, answer.body); },
-      Moment{fleet.now() + target.clock});
+      request, [this, index](const EditResponse& response) { on_response(index, response.code, response.body); },
+      TimePoint{fleet.now() + target.clock});
   return index;
 }
 
-void FleetWalk::World::on_answer(std::size_t index, Integer code, const std::string& body) {
+void FleetWalk::World::on_response(std::size_t index, std::int64_t code, const std::string& body) {
   SubmittedEdit& edit = edits[index];
   if (code == 200 || code == 201)
     edit.acknowledged = fleet.now();
@@ -169,7 +169,7 @@
 
 void FleetWalk::World::look_at(const std::string& name) {
   const FleetState& state = fleet.state(name);
-  auto& [version, term] = last_seen[name + "/" + std::to_string(fleet.at(name).life)];
+  auto& [version, term] = last_seen[name + "/" + std::to_string(fleet.at(name).incarnation)];
   if (state.version == version)
     return;
   if (state.version < version || state.term < term)
@@ -189,9 +189,9 @@
 
 void FleetWalk::World::look_at_done(const FleetState& state) {
   std::set<std::string> changes;
-  for (const auto& done : state.done)
-    if (!changes.insert(done.change).second)
-      fail(done.change + " was applied twice");
+  for (const auto& done : state.completed_changes)
+    if (!changes.insert(done.change_id).second)
+      fail(done.change_id + " was applied twice");
   for (auto& edit : edits) {
     bool is_done = changes.count(edit.change) != 0;
     if (is_done && edit.is_refused)
@@ -208,8 +208,8 @@
 // An order that was asked before a newer one, and was applied on top of it after that one was acknowledged.
 void FleetWalk::World::look_for_older_order(const FleetState& state) {
   auto place = [&](const SubmittedEdit& edit) {
-    return std::find_if(state.done.begin(), state.done.end(),
-                        [&](const auto& done) { return done.change == edit.change; });
+    return std::find_if(state.completed_changes.begin(), state.completed_changes.end(),
+                        [&](const auto& done) { return done.change_id == edit.change; });
   };
   for (const auto& older : edits)
     for (const auto& newer : edits) {
@@ -225,7 +225,7 @@
 
 // --- the end of a walk ------------------------------------------------------------------------------------
 
-void FleetWalk::World::mend_all() {
+void FleetWalk::World::repair_all() {
   cut.clear();
   fleet.heal();
   for (const auto& name : names) {
@@ -319,7 +319,7 @@
       world.cut = choice.machine;
       for (const auto& other : world.names)
         if (other != choice.machine)
-          world.fleet.cut_link(choice.machine, other);
+          world.fleet.cut_connection(choice.machine, other);
       break;
     case FleetChoiceKind::heal:
       world.cut.clear();
@@ -357,7 +357,7 @@
   world.events.clear();
   if (world.violation.empty() && !world.edits_until_acknowledged())
     world.fail("no edit is acknowledged any more with the faults that stand");
-  world.mend_all();
+  world.repair_all();
   if (world.violation.empty() && !world.run_until([&] { return world.is_settled(); }, settling_time))
     world.fail("the fleet does not settle once every fault is mended");
   if (world.violation.empty() && !world.edits_until_acknowledged())
--- a/packages/model-checker/src/register_world.cpp
+++ b/packages/model-checker/src/register_world.cpp
@@ -8,11 +8,11 @@
 namespace emberdale {
 namespace {
 
-constexpr Moment acceptor_clock{0};         // acceptors tell the time only for heartbeats, which are not modelled
-constexpr Span past_any_phase{3000};        // further ahead than any phase or pause of a round lasts
-constexpr Span order_patience{1000000000};  // further ahead than all timers of a path together
-constexpr Span past_any_patience{2000000000};
-constexpr Span past_any_read{2500};  // from here on a reader asks every copy that it ever heard of
+constexpr TimePoint acceptor_clock{0};          // acceptors tell the time only for heartbeats, which are not modelled
+constexpr Duration past_any_phase{3000};        // further ahead than any phase or pause of a round lasts
+constexpr Duration order_patience{1000000000};  // further ahead than all timers of a path together
+constexpr Duration past_any_patience{2000000000};
+constexpr Duration past_any_read{2500};  // from here on a reader asks every copy that it ever heard of
 constexpr int probe_rounds = 30;
 
 struct OrderEnd {
@@ -24,33 +24,34 @@
 
 std::string mark_of(std::size_t order) { return "order-" + std::to_string(order); }
 std::size_t order_of(const std::string& mark) { return static_cast<std::size_t>(std::stoi(mark.substr(6))); }
-StoreId store_of(std::size_t acceptor, int life) {
-  return StoreId{"s" + std::to_string(acceptor) + "-" + std::to_string(life)};
+StoreId store_of(std::size_t acceptor, int incarnation) {
+  return StoreId{"s" + std::to_string(acceptor) + "-" + std::to_string(incarnation)};
 }
 std::size_t acceptor_of(const StoreId& store) { return static_cast<std::size_t>(std::stoi(store.text.substr(1))); }
-std::string life_of(const StoreId& store) { return store.text.substr(store.text.find('-')); }
+std::string incarnation_of(const StoreId& store) { return store.text.substr(store.text.find('-')); }
 Address acceptor_address(std::size_t index) { return Address{"core-" + std::to_string(index)}; }
 Address proposer_address(std::size_t index) {
   return Address{std::string("proposer-") + static_cast<char>('a' + index)};
 }
 
 bool holds_mark(const FleetState& state, const std::string& mark) {
-  return std::any_of(state.done.begin(), state.done.end(), [&](const auto& done) { return done.change == mark; });
+  return std::any_of(state.completed_changes.begin(), state.completed_changes.end(),
+                     [&](const auto& done) { return done.change_id == mark; });
 }
 
 bool holds_store(const std::vector<AcceptorEntry>& set, const StoreId& store) {
   return std::any_of(set.begin(), set.end(), [&](const auto& entry) { return entry.store == store; });
 }
 
-Verdict append(const FleetState& state, const std::string& mark, Integer term) {
+Verdict append(const FleetState& state, const std::string& mark, std::int64_t term) {
   if (holds_mark(state, mark))
     return {Verdict::Kind::already_there, {}, ""};
   FleetState next = state;
-  next.done.push_back({mark, 0, term});
+  next.completed_changes.push_back({mark, 0, term});
   return {Verdict::Kind::apply, next, ""};
 }
 
-Verdict claim(const FleetState& state, Integer expected, const Address& self) {
+Verdict claim(const FleetState& state, std::int64_t expected, const Address& self) {
   if (state.term == expected + 1 && state.master == self)
     return {Verdict::Kind::already_there, {}, ""};
   if (state.term != expected)
@@ -78,8 +79,8 @@
   std::string text = "version " + std::to_string(state->version);
   if (state->term > 0)
     text += " term " + std::to_string(state->term) + " of " + state->master.text;
-  for (const auto& done : state->done)
-    text += " " + done.change;
+  for (const auto& done : state->completed_changes)
+    text += " " + done.change_id;
   if (!state->next_acceptors.empty())
     text += " (joint change)";
   return "[" + text + "]";
@@ -95,10 +96,10 @@
     return "Accept " + show(accept->ballot) + " " + show_value(accept->value);
   if (const auto* accepted = std::get_if<Accepted>(&message))
     return (accepted->granted ? "Accepted " : "refusal of an accept, promised ") + show(accepted->promised);
-  if (std::holds_alternative<ReadAsk>(message))
+  if (std::holds_alternative<ReadRequest>(message))
     return "ReadAsk";
-  if (const auto* answer = std::get_if<ReadAnswer>(&message))
-    return "ReadAnswer with " + show(answer->accepted);
+  if (const auto* response = std::get_if<ReadResponse>(&message))
+    return "ReadAnswer with " + show(response->accepted);
   return "message of kind " + std::to_string(message.index());
 }
 
@@ -107,32 +108,32 @@
   Fingerprint print;
   print.add(message.index());
   if (const auto* prepare = std::get_if<Prepare>(&message))
-    print.add(prepare->ballot).add(prepare->known).add(life_of(prepare->store));
+    print.add(prepare->ballot).add(prepare->known_ballot).add(incarnation_of(prepare->store));
   if (const auto* promise = std::get_if<Promise>(&message))
     print.add(promise->granted ? 1 : 0)
         .add(promise->promised)
         .add(promise->accepted)
         .add(promise->value.data)
-        .add(life_of(promise->store));
+        .add(incarnation_of(promise->store));
   if (const auto* accept = std::get_if<Accept>(&message))
-    print.add(accept->ballot).add(accept->value.data).add(life_of(accept->store));
+    print.add(accept->ballot).add(accept->value.data).add(incarnation_of(accept->store));
   if (const auto* accepted = std::get_if<Accepted>(&message))
-    print.add(accepted->granted ? 1 : 0).add(accepted->promised).add(life_of(accepted->store));
-  if (const auto* ask = std::get_if<ReadAsk>(&message))
-    print.add(ask->known);
-  if (const auto* answer = std::get_if<ReadAnswer>(&message))
-    print.add(answer->accepted).add(answer->base).add(answer->value.data).add(life_of(answer->store));
+    print.add(accepted->granted ? 1 : 0).add(accepted->promised).add(incarnation_of(accepted->store));
+  if (const auto* request = std::get_if<ReadRequest>(&message))
+    print.add(request->known_ballot);
+  if (const auto* response = std::get_if<ReadResponse>(&message))
+    print.add(response->accepted).add(response->base).add(response->value.data).add(incarnation_of(response->store));
   return print.value();
 }
 
-Integer ask_of(const Message& message) {
+std::int64_t ask_of(const Message& message) {
   return std::visit(
-      [](const auto& body) -> Integer {
+      [](const auto& body) -> std::int64_t {
         using Body = std::decay_t<decltype(body)>;
         if constexpr (std::is_same_v<Body, Prepare> || std::is_same_v<Body, Promise> || std::is_same_v<Body, Accept> ||
-                      std::is_same_v<Body, Accepted> || std::is_same_v<Body, ReadAsk> ||
-                      std::is_same_v<Body, ReadAnswer>)
-          return body.ask;
+                      std::is_same_v<Body, Accepted> || std::is_same_v<Body, ReadRequest> ||
+                      std::is_same_v<Body, ReadResponse>)
+          return body.request_id;
         return 0;
       },
       message);
@@ -149,7 +150,7 @@
 // Whether an answer asks for more, also when the round it belongs to is over.
 bool asks_for_more(const Message& message) {
   const auto* accepted = std::get_if<Accepted>(&message);
-  return accepted != nullptr && accepted->needs_whole;
+  return accepted != nullptr && accepted->needs_full_value;
 }
 
 }  // namespace
@@ -168,7 +169,7 @@
 
 struct RegisterWorld::AcceptorNode {
   RegisterAcceptor machine;
-  int life = 0;
+  int incarnation = 0;
   std::string disk;                      // what is synced, as one record
   std::vector<std::int64_t> unsynced{};  // tokens of writes under way
   std::uint64_t print = 0;
@@ -176,11 +177,11 @@
 
 struct RegisterWorld::ProposerNode {
   RegisterProposer machine;
-  Moment clock{0};
-  int life = 0;
-  Integer won_term = 0, seen_version = 0, seen_term = 0;
-  Integer read_floor = -1;  // what the read under way must show at least; -1: it was checked
-  Moment read_begun{-1};
+  TimePoint clock{0};
+  int incarnation = 0;
+  std::int64_t won_term = 0, seen_version = 0, seen_term = 0;
+  std::int64_t read_floor = -1;  // what the read under way must show at least; -1: it was checked
+  TimePoint read_begun{-1};
   Fingerprint arguments{};  // what the orders that were started here took from the world at their start
   ProposerPrint print{};
 };
@@ -190,7 +191,7 @@
       left_(scenario.budget),
       history_(std::make_shared<History>()) {
   FleetState founding;
-  founding.fleet = "model";
+  founding.fleet_name = "model";
   founding.version = 1;
   for (int i = 0; i < scenario.members; ++i) {
     auto index = static_cast<std::size_t>(i);
@@ -201,10 +202,10 @@
     auto index = static_cast<std::size_t>(i);
     AcceptorNode node{RegisterAcceptor(store_of(index, 0)), 0, ""};
     if (i < scenario.members) {
-      node.machine.on_message(Address{"founder"}, Found{1, store_of(index, 0), value}, acceptor_clock);
-      for (const auto& write : node.machine.take_writes())
+      node.machine.on_message(Address{"founder"}, BootstrapRequest{1, store_of(index, 0), value}, acceptor_clock);
+      for (const auto& write : node.machine.drain_writes())
         node.machine.synced(write.token);
-      node.machine.take_out();
+      node.machine.drain_outbound();
     }
     node.disk = node.machine.picture();
     node.print = StateInspector::print(node.machine);
@@ -454,13 +455,13 @@
 
 void RegisterWorld::after_acceptor(std::size_t index) {
   AcceptorNode& node = change_acceptor(index);
-  for (const auto& write : node.machine.take_writes())
+  for (const auto& write : node.machine.drain_writes())
     node.unsynced.push_back(write.token);
   if (!scenario_->is_sync_separate && !node.unsynced.empty()) {
     sync(index);
     return;
   }
-  auto out = node.machine.take_out();
+  auto out = node.machine.drain_outbound();
   node.print = StateInspector::print(node.machine);
   send(index, std::move(out));
 }
@@ -471,7 +472,7 @@
   node.machine.synced(node.unsynced.back());
   node.unsynced.clear();
   node.disk = node.machine.picture();
-  auto out = node.machine.take_out();
+  auto out = node.machine.drain_outbound();
   node.print = StateInspector::print(node.machine);
   send(index, std::move(out));
   if (node.machine.accepted() != before)
@@ -494,8 +495,8 @@
 void RegisterWorld::wipe(std::size_t index) {
   AcceptorNode& node = change_acceptor(index);
   if (scenario_->fault != PlantedFault::keeps_wiped_store)
-    ++node.life;
-  node.machine = RegisterAcceptor(store_of(index, node.life));
+    ++node.incarnation;
+  node.machine = RegisterAcceptor(store_of(index, node.incarnation));
   node.disk = node.machine.picture();
   node.unsynced.clear();
   node.print = StateInspector::print(node.machine);
@@ -504,12 +505,12 @@
 
 void RegisterWorld::restart_proposer(std::size_t index) {
   ProposerNode& node = change_proposer(index);
-  int life = node.life + 1;
-  auto seed = static_cast<std::uint64_t>(life) * 1000 + index + 1;
-  Moment clock = node.clock;
+  int incarnation = node.incarnation + 1;
+  auto seed = static_cast<std::uint64_t>(incarnation) * 1000 + index + 1;
+  TimePoint clock = node.clock;
   node = ProposerNode{RegisterProposer(proposer_address(index), RandomGenerator(seed))};
   node.clock = clock;
-  node.life = life;
+  node.incarnation = incarnation;
   node.machine.learn_acceptors(history_->newest.acceptors);
   for (std::size_t order : started_)
     if (proposer_of(order) == index)
@@ -523,7 +524,7 @@
 
 void RegisterWorld::after_proposer(std::size_t index) {
   ProposerNode& node = change_proposer(index);
-  send(acceptor_count() + index, node.machine.take_out());
+  send(acceptor_count() + index, node.machine.drain_outbound());
   node.print = StateInspector::print(
       node.machine, node.clock, acceptor_count(), [](const StoreId& store) { return acceptor_of(store); },
       is_symmetric());
@@ -531,18 +532,18 @@
   observe_orders(index);
 }
 
-void RegisterWorld::send(std::size_t from, std::vector<Sending> sendings) {
-  for (auto& sending : sendings) {
+void RegisterWorld::send(std::size_t from, std::vector<OutboundMessage> messages) {
+  for (auto& message : messages) {
     std::size_t to = 0;
     std::size_t machines = acceptor_count() + proposers_.size();
-    while (to < machines && address_of(to) != sending.to)
+    while (to < machines && address_of(to) != message.to)
       ++to;
     if (to == machines)
       continue;
-    if (answer_unasked(from, sending.message))
+    if (answer_unasked(from, message.message))
       continue;
-    std::uint64_t print = print_message(sending.message);
-    letters_.push_back({from, to, std::make_shared<const Message>(std::move(sending.message)), print});
+    std::uint64_t print = print_message(message.message);
+    letters_.push_back({from, to, std::make_shared<const Message>(std::move(message.message)), print});
   }
 }
 
@@ -557,7 +558,7 @@
     return false;
   Message answer = Promise{ask_of(message), *store, true, Ballot{}, Ballot{}, Bytes{}};
   if (const auto* accept = std::get_if<Accept>(&message))
-    answer = Accepted{accept->ask, *store, true, accept->ballot};
+    answer = Accepted{accept->request_id, *store, true, accept->ballot};
   std::uint64_t print = print_message(answer);
   letters_.push_back({acceptor_of(*store), from, std::make_shared<const Message>(std::move(answer)), print});
   return true;
@@ -606,7 +607,7 @@
         return append(state, mark, 0);
       };
     case OrderKind::claim_term: {
-      Integer expected = node.machine.has_state() ? node.machine.state().term : 0;
+      std::int64_t expected = node.machine.has_state() ? node.machine.state().term : 0;
       return [expected, self](const FleetState& state) {
         return claim(state, expected, self);
       };
@@ -722,12 +723,12 @@
   if (state.term > 0 && history->masters.insert({state.term, state.master.text}).first->second != state.master.text)
     fail(where + " a second master of term " + std::to_string(state.term));
   std::set<std::string> marks;
-  for (const auto& done : state.done) {
-    std::size_t order = order_of(done.change);
-    if (!marks.insert(done.change).second)
-      fail(where + " " + version + ", in which " + done.change + " was applied twice");
+  for (const auto& done : state.completed_changes) {
+    std::size_t order = order_of(done.change_id);
+    if (!marks.insert(done.change_id).second)
+      fail(where + " " + version + ", in which " + done.change_id + " was applied twice");
     if (history->refused.count(static_cast<int>(order)) != 0)
-      fail(where + " " + version + " with " + done.change + ", which was refused");
+      fail(where + " " + version + " with " + done.change_id + ", which was refused");
     std::string writer = proposer_address(proposer_of(order)).text;
     if (done.config_revision > 0 &&
         history->leading_writers.insert({done.config_revision, writer}).first->second != writer)
@@ -814,20 +815,20 @@
   RegisterProposer judge(judge_address, RandomGenerator(1));
   judge.learn_acceptors(history_->newest.acceptors);
   std::optional<ChangeEnd> end;
-  Moment now{0};
+  TimePoint now{0};
   std::string mark = mark_of(scenario_->orders.size());
   judge.change([mark](const FleetState& state) { return append(state, mark, 0); },
                [&end](const ChangeEnd& ended) { end = ended; }, now, order_patience);
   for (int round = 0; round < probe_rounds && !end; ++round) {
-    for (auto asks = judge.take_out(); !asks.empty() && !end; asks = judge.take_out())
+    for (auto asks = judge.drain_outbound(); !asks.empty() && !end; asks = judge.drain_outbound())
       for (const auto& ask : asks) {
         auto target = machines.find(ask.to);
         if (target == machines.end())
           continue;
         target->second.on_message(judge_address, ask.message, acceptor_clock);
-        for (const auto& write : target->second.take_writes())
+        for (const auto& write : target->second.drain_writes())
           target->second.synced(write.token);
-        for (const auto& answer : target->second.take_out())
+        for (const auto& answer : target->second.drain_outbound())
           judge.on_message(ask.to, answer.message, now);
       }
     now = now + past_any_phase;
@@ -885,7 +886,7 @@
   std::vector<std::uint64_t> parts;
   for (std::size_t i = 0; i < acceptors_.size(); ++i) {
     Fingerprint part;
-    part.add(acceptors_[i]->print).add(static_cast<std::uint64_t>(acceptors_[i]->life));
+    part.add(acceptors_[i]->print).add(static_cast<std::uint64_t>(acceptors_[i]->incarnation));
     for (const auto& proposer : proposers_)
       part.add(proposer->print.per_acceptor[i]);
     std::sort(mail[i].begin(), mail[i].end());
@@ -901,7 +902,7 @@
   for (const auto& proposer : proposers_) {
     whole.add(proposer->print.own).add(proposer->arguments.value()).add(static_cast<std::uint64_t>(proposer->won_term));
     whole.add(static_cast<std::uint64_t>(proposer->seen_version)).add(static_cast<std::uint64_t>(proposer->seen_term));
-    whole.add(static_cast<std::uint64_t>(proposer->read_floor)).add(static_cast<std::uint64_t>(proposer->life));
+    whole.add(static_cast<std::uint64_t>(proposer->read_floor)).add(static_cast<std::uint64_t>(proposer->incarnation));
   }
   for (const auto* orders : {&started_, &ended_}) {
     whole.add(orders->size());
--- a/packages/model-checker/src/state_inspector.cpp
+++ b/packages/model-checker/src/state_inspector.cpp
@@ -13,12 +13,12 @@
 }
 }  // namespace
 
-ProposerPrint StateInspector::print(const RegisterProposer& proposer, Moment clock, std::size_t acceptors,
+ProposerPrint StateInspector::print(const RegisterProposer& proposer, TimePoint clock, std::size_t acceptors,
                                     const std::function<std::size_t(const StoreId&)>& place, bool is_symmetric) {
   Fingerprint own;
   std::vector<Fingerprint> each(acceptors);
   // A store that is named by its acceptor's index stands in that acceptor's part; the life of the store is its suffix.
-  auto life_of = [](const StoreId& store) {
+  auto incarnation_of = [](const StoreId& store) {
     return store.text.substr(store.text.find('-'));
   };
   if (!is_symmetric) {
@@ -32,17 +32,20 @@
   if (proposer.current_) {
     const auto& round = *proposer.current_;
     std::int64_t left = (round.job.deadline - clock).value;
-    own.add(static_cast<std::uint64_t>(round.phase)).add(round.ballot).add(round.highest).add(round.found_bytes.data);
+    own.add(static_cast<std::uint64_t>(round.phase))
+        .add(round.ballot)
+        .add(round.highest)
+        .add(round.found_value_bytes.data);
     // What is proposed follows from the value found and the job.
     own.add(round.is_carrying ? 1 : 0).add(round.job.was_accept_sent ? 1 : 0).add(round.job.done ? 1 : 0);
     own.add(static_cast<std::uint64_t>(std::min(left, far_off))).add(static_cast<std::uint64_t>(round.end.kind));
     for (const auto& ballot : round.seen)
       own.add(ballot);
     for (const auto& store : round.granted)
-      each[place(store)].add(1).add(life_of(store));
+      each[place(store)].add(1).add(incarnation_of(store));
     // Which base a store holds decides about deltas alone, and the values here are far too small for these.
     for (const auto& store : round.asked)
-      each[place(store)].add(3).add(life_of(store));
+      each[place(store)].add(3).add(incarnation_of(store));
   }
   own.add(proposer.read_ ? 1 : 0);
   if (proposer.read_) {
@@ -54,7 +57,7 @@
       add_set(own, read.next);
     }
     for (const auto& [store, ballot] : read.answers)
-      each[place(store)].add(2).add(life_of(store)).add(ballot);
+      each[place(store)].add(2).add(incarnation_of(store)).add(ballot);
   }
   own.add(proposer.wants_whole_ ? 1 : 0);
   for (const auto& [ballot, state] : proposer.read_states_)
@@ -76,7 +79,7 @@
   return print.value();
 }
 
-AskClass StateInspector::ask_class(const RegisterProposer& proposer, Integer ask) {
+AskClass StateInspector::ask_class(const RegisterProposer& proposer, std::int64_t ask) {
   if (proposer.current_ && proposer.current_->ask == ask)
     return AskClass::round;
   return proposer.read_ && proposer.read_->ask == ask ? AskClass::read : AskClass::stale;
--- a/packages/model-checker/src/state_inspector.hpp
+++ b/packages/model-checker/src/state_inspector.hpp
@@ -24,10 +24,10 @@
  public:
   // `place` gives the index of the acceptor that has, or once had, that store. `is_symmetric`: the sets of acceptors
   // are the same in every value, and are left out.
-  static ProposerPrint print(const RegisterProposer& proposer, Moment clock, std::size_t acceptors,
+  static ProposerPrint print(const RegisterProposer& proposer, TimePoint clock, std::size_t acceptors,
                              const std::function<std::size_t(const StoreId&)>& place, bool is_symmetric);
   static std::uint64_t print(const RegisterAcceptor& acceptor);
-  static AskClass ask_class(const RegisterProposer& proposer, Integer ask);
+  static AskClass ask_class(const RegisterProposer& proposer, std::int64_t ask);
   static bool is_round_open(const RegisterProposer& proposer) { return proposer.current_.has_value(); }
   static const Bytes& value(const RegisterAcceptor& acceptor) { return acceptor.synced_.value; }
 };
--- a/packages/model-checker/tests/fleet_walk_test.cpp
+++ b/packages/model-checker/tests/fleet_walk_test.cpp
@@ -63,9 +63,9 @@
 // with every kind of fault.
 TEST(FleetWalk, AnOrderDiesBeforeItsAskerGivesUp) {
   FleetScenario scenario = orders_and_cuts();
-  scenario.gives_up_after = Span{1000};
+  scenario.gives_up_after = Duration{1000};
   EXPECT_TRUE(walk_fleets(scenario, 200).violation);
-  scenario.asker_patience = Span{800};
+  scenario.requester_timeout = Duration{800};
   expect_sound(scenario, walk_fleets(scenario, 200));
   scenario.left_out.clear();
   expect_sound(scenario, walk_fleets(scenario, 100));
--- a/packages/peer-connections/src/peer_connections.cpp
+++ b/packages/peer-connections/src/peer_connections.cpp
@@ -88,16 +88,16 @@
   return std::make_pair(text.substr(0, colon), port);
 }
 
-struct PeerConnections::OutLink {
-  explicit OutLink(asio::io_context& context) : socket(context) {}
+struct PeerConnections::OutboundConnection {
+  explicit OutboundConnection(asio::io_context& context) : socket(context) {}
   Address to;
   tcp::socket socket;
   std::deque<std::shared_ptr<std::string>> queue;
   bool is_up = false, is_dialling = false, is_writing = false;
 };
 
-struct PeerConnections::InLink {
-  explicit InLink(tcp::socket accepted) : socket(std::move(accepted)) {}
+struct PeerConnections::InboundConnection {
+  explicit InboundConnection(tcp::socket accepted) : socket(std::move(accepted)) {}
   tcp::socket socket;
   Address from;
   char head[4];
@@ -111,7 +111,7 @@
   *alive_ = false;
   boost::system::error_code ignored;
   acceptor_.close(ignored);
-  for (auto& [to, link] : out_links_)
+  for (auto& [to, link] : outbound_connections_)
     link->socket.close(ignored);
 }
 
@@ -140,71 +140,72 @@
       boost::system::error_code ignored;
       socket.set_option(tcp::no_delay(true), ignored);
       socket.set_option(asio::socket_base::keep_alive(true), ignored);  // one that vanished is let go in the end
-      read_next(std::make_shared<InLink>(std::move(socket)));
+      read_next(std::make_shared<InboundConnection>(std::move(socket)));
     }
     if (fault != asio::error::operation_aborted)
       accept_next();
   });
 }
 
-void PeerConnections::read_next(const std::shared_ptr<InLink>& link) {
-  asio::async_read(link->socket, asio::buffer(link->head, 4),
-                   [this, link, alive = alive_](boost::system::error_code fault, std::size_t) {
+void PeerConnections::read_next(const std::shared_ptr<InboundConnection>& connection) {
+  asio::async_read(connection->socket, asio::buffer(connection->head, 4),
+                   [this, connection, alive = alive_](boost::system::error_code fault, std::size_t) {
                      if (fault || !*alive)
                        return;
-                     auto size = get<std::uint32_t>(link->head);
+                     auto size = get<std::uint32_t>(connection->head);
                      bool is_packed = (size & packed_mark) != 0;
                      size &= ~packed_mark;
                      if (size > max_frame) {
                        ++counts_.refused_frames;
                        return;  // the link closes as its last owner goes
                      }
-                     link->body.resize(size);
+                     connection->body.resize(size);
                      asio::async_read(
-                         link->socket, asio::buffer(link->body.data(), size),
-                         [this, link, alive, is_packed](boost::system::error_code broken, std::size_t) {
+                         connection->socket, asio::buffer(connection->body.data(), size),
+                         [this, connection, alive, is_packed](boost::system::error_code broken, std::size_t) {
                            if (broken || !*alive)
                              return;
                            if (is_packed) {
-                             auto body = unpack(link->body);
+                             auto body = unpack(connection->body);
                              if (!body) {
                                ++counts_.refused_frames;
                                return;
                              }
-                             link->body = std::move(*body);
+                             connection->body = std::move(*body);
                            }
-                           if (link->from.empty()) {  // the first frame says who speaks, and in which protocol
-                             if (link->body.size() < 12 || get<std::uint32_t>(link->body.data()) != hello_mark ||
-                                 get<std::uint64_t>(link->body.data() + 4) != protocol_fingerprint()) {
+                           if (connection->from.empty()) {  // the first frame says who speaks, and in which protocol
+                             if (connection->body.size() < 12 ||
+                                 get<std::uint32_t>(connection->body.data()) != hello_mark ||
+                                 get<std::uint64_t>(connection->body.data() + 4) != protocol_fingerprint()) {
                                ++counts_.refused_frames;
                                LOG(WARNING) << "link refused: other protocol";
                                return;
                              }
-                             link->from.text = link->body.substr(12);
-                             heard_from(link->from);
-                             return read_next(link);
+                             connection->from.text = connection->body.substr(12);
+                             heard_from(connection->from);
+                             return read_next(connection);
                            }
                            ++counts_.frames_in;
-                           auto fault_entry = faults_.find(link->from);
+                           auto fault_entry = faults_.find(connection->from);
                            if (fault_entry == faults_.end() || !fault_entry->second.is_cut_in) {
-                             auto message = decode_message(link->body);
+                             auto message = decode_message(connection->body);
                              if (!message) {
                                ++counts_.refused_frames;
                                return;
                              }
-                             on_message_(link->from, std::move(*message));
+                             on_message_(connection->from, std::move(*message));
                            }
-                           read_next(link);
+                           read_next(connection);
                          });
                    });
 }
 
 // It lives: a dial that began while it was dark waits for a packet that was lost, for a second or more.
 void PeerConnections::heard_from(const Address& peer) {
-  auto entry = out_links_.find(peer);
-  if (entry == out_links_.end() || !entry->second->is_dialling)
+  auto entry = outbound_connections_.find(peer);
+  if (entry == outbound_connections_.end() || !entry->second->is_dialling)
     return;
-  auto fresh = std::make_shared<OutLink>(context_);
+  auto fresh = std::make_shared<OutboundConnection>(context_);
   fresh->to = peer;
   fresh->queue.swap(entry->second->queue);
   auto stuck = std::exchange(entry->second, fresh);
@@ -243,123 +244,124 @@
 }
 
 void PeerConnections::queue_frame(const Address& to, std::shared_ptr<std::string> frame) {
-  auto& link = out_links_[to];
-  if (!link) {
-    link = std::make_shared<OutLink>(context_);
-    link->to = to;
+  auto& connection = outbound_connections_[to];
+  if (!connection) {
+    connection = std::make_shared<OutboundConnection>(context_);
+    connection->to = to;
   }
-  if (link->queue.size() >= max_queued_frames) {
+  if (connection->queue.size() >= max_queued_frames) {
     ++counts_.frames_dropped;
     return;
   }
-  link->queue.push_back(std::move(frame));
-  if (!link->is_up) {
-    if (!link->is_dialling)
-      dial(link);
-  } else if (!link->is_writing) {
-    write_next(link);
+  connection->queue.push_back(std::move(frame));
+  if (!connection->is_up) {
+    if (!connection->is_dialling)
+      dial(connection);
+  } else if (!connection->is_writing) {
+    write_next(connection);
   }
 }
 
-void PeerConnections::dial(const std::shared_ptr<OutLink>& link) {
-  auto place = split_address(link->to.text);
+void PeerConnections::dial(const std::shared_ptr<OutboundConnection>& connection) {
+  auto place = split_address(connection->to.text);
   if (!place)
-    return drop(link);
-  link->is_dialling = true;
+    return drop(connection);
+  connection->is_dialling = true;
   boost::system::error_code ignored;
   tcp::endpoint endpoint(asio::ip::make_address(place->first, ignored), static_cast<unsigned short>(place->second));
   auto patience = std::make_shared<asio::steady_timer>(context_, dial_patience);
-  patience->async_wait([link, patience, alive = alive_](boost::system::error_code stopped) {
+  patience->async_wait([connection, patience, alive = alive_](boost::system::error_code stopped) {
     boost::system::error_code ignored_fault;
-    if (!stopped && *alive && link->is_dialling)
-      link->socket.close(ignored_fault);  // ends the dialling with a fault
-  });
-  link->socket.async_connect(endpoint, [this, link, patience, alive = alive_](boost::system::error_code fault) {
-    patience->cancel();
-    if (!*alive)
-      return;
-    link->is_dialling = false;
-    auto current = out_links_.find(link->to);
-    if (current == out_links_.end() || current->second != link)
-      return;  // another dial has taken its place
-    if (fault) {
-      drop(link);
-      auto cut = faults_.find(link->to);
-      bool is_cut = cut != faults_.end() && cut->second.is_cut_out;
-      if (fault == asio::error::connection_refused && on_refused && !is_cut)
-        on_refused(link->to);
-      return;
-    }
-    boost::system::error_code ignored_fault;
-    link->socket.set_option(tcp::no_delay(true), ignored_fault);
-    link->socket.set_option(asio::detail::socket_option::integer<IPPROTO_TCP, TCP_USER_TIMEOUT>(unanswered_ms),
-                            ignored_fault);
-    link->is_up = true;
-    std::string hello;
-    put<std::uint32_t>(hello, hello_mark);
-    put<std::uint64_t>(hello, protocol_fingerprint());
-    hello += self_.text;
-    auto frame = std::make_shared<std::string>();
-    put<std::uint32_t>(*frame, static_cast<std::uint32_t>(hello.size()));
-    *frame += hello;
-    link->queue.push_front(frame);
-    // Nothing is ever read on this side: an end of file tells that the peer has gone.
-    auto byte = std::make_shared<char>();
-    asio::async_read(link->socket, asio::buffer(byte.get(), 1),
-                     [this, link, byte, alive](boost::system::error_code, std::size_t) {
-                       if (!*alive)
-                         return;
-                       drop(link);
-                       look_again(link->to);
-                     });
-    write_next(link);
+    if (!stopped && *alive && connection->is_dialling)
+      connection->socket.close(ignored_fault);  // ends the dialling with a fault
   });
+  connection->socket.async_connect(
+      endpoint, [this, connection, patience, alive = alive_](boost::system::error_code fault) {
+        patience->cancel();
+        if (!*alive)
+          return;
+        connection->is_dialling = false;
+        auto current = outbound_connections_.find(connection->to);
+        if (current == outbound_connections_.end() || current->second != connection)
+          return;  // another dial has taken its place
+        if (fault) {
+          drop(connection);
+          auto cut = faults_.find(connection->to);
+          bool is_cut = cut != faults_.end() && cut->second.is_cut_out;
+          if (fault == asio::error::connection_refused && on_refused && !is_cut)
+            on_refused(connection->to);
+          return;
+        }
+        boost::system::error_code ignored_fault;
+        connection->socket.set_option(tcp::no_delay(true), ignored_fault);
+        connection->socket.set_option(
+            asio::detail::socket_option::integer<IPPROTO_TCP, TCP_USER_TIMEOUT>(unanswered_ms), ignored_fault);
+        connection->is_up = true;
+        std::string hello;
+        put<std::uint32_t>(hello, hello_mark);
+        put<std::uint64_t>(hello, protocol_fingerprint());
+        hello += self_.text;
+        auto frame = std::make_shared<std::string>();
+        put<std::uint32_t>(*frame, static_cast<std::uint32_t>(hello.size()));
+        *frame += hello;
+        connection->queue.push_front(frame);
+        // Nothing is ever read on this side: an end of file tells that the peer has gone.
+        auto byte = std::make_shared<char>();
+        asio::async_read(connection->socket, asio::buffer(byte.get(), 1),
+                         [this, connection, byte, alive](boost::system::error_code, std::size_t) {
+                           if (!*alive)
+                             return;
+                           drop(connection);
+                           look_again(connection->to);
+                         });
+        write_next(connection);
+      });
 }
 
-void PeerConnections::write_next(const std::shared_ptr<OutLink>& link) {
-  if (!link->is_up || link->queue.empty())
+void PeerConnections::write_next(const std::shared_ptr<OutboundConnection>& connection) {
+  if (!connection->is_up || connection->queue.empty())
     return;
-  link->is_writing = true;
-  auto frame = link->queue.front();
-  asio::async_write(link->socket, asio::buffer(*frame),
-                    [this, link, frame, alive = alive_](boost::system::error_code fault, std::size_t size) {
+  connection->is_writing = true;
+  auto frame = connection->queue.front();
+  asio::async_write(connection->socket, asio::buffer(*frame),
+                    [this, connection, frame, alive = alive_](boost::system::error_code fault, std::size_t size) {
                       if (!*alive)
                         return;
-                      link->is_writing = false;
+                      connection->is_writing = false;
                       if (fault)
-                        return drop(link);
+                        return drop(connection);
                       ++counts_.frames_out;
                       counts_.bytes_out += static_cast<std::int64_t>(size);
-                      if (!link->queue.empty() && link->queue.front() == frame)
-                        link->queue.pop_front();
-                      write_next(link);
+                      if (!connection->queue.empty() && connection->queue.front() == frame)
+                        connection->queue.pop_front();
+                      write_next(connection);
                     });
 }
 
-void PeerConnections::drop(const std::shared_ptr<OutLink>& link) {
-  auto entry = out_links_.find(link->to);
-  if (entry == out_links_.end() || entry->second != link)
+void PeerConnections::drop(const std::shared_ptr<OutboundConnection>& connection) {
+  auto entry = outbound_connections_.find(connection->to);
+  if (entry == outbound_connections_.end() || entry->second != connection)
     return;
-  counts_.frames_dropped += static_cast<std::int64_t>(link->queue.size());
+  counts_.frames_dropped += static_cast<std::int64_t>(connection->queue.size());
   boost::system::error_code ignored;
-  link->socket.close(ignored);
-  out_links_.erase(entry);
+  connection->socket.close(ignored);
+  outbound_connections_.erase(entry);
 }
 
 // A link that ended may mean a peer that ended: dialling once more tells.
 void PeerConnections::look_again(const Address& to) {
   auto timer = std::make_shared<asio::steady_timer>(context_, std::chrono::milliseconds(20));
   timer->async_wait([this, timer, to, alive = alive_](boost::system::error_code) {
-    if (!*alive || out_links_.count(to) != 0)
+    if (!*alive || outbound_connections_.count(to) != 0)
       return;
-    auto link = std::make_shared<OutLink>(context_);
-    link->to = to;
-    out_links_[to] = link;
-    dial(link);
+    auto connection = std::make_shared<OutboundConnection>(context_);
+    connection->to = to;
+    outbound_connections_[to] = connection;
+    dial(connection);
   });
 }
 
-void PeerConnections::set_fault(const Address& peer, LinkFault fault) { faults_[peer] = fault; }
+void PeerConnections::set_fault(const Address& peer, ConnectionFault fault) { faults_[peer] = fault; }
 void PeerConnections::clear_faults() { faults_.clear(); }
 
 }  // namespace emberdale
--- a/packages/peer-connections/tests/peer_connections_test.cpp
+++ b/packages/peer-connections/tests/peer_connections_test.cpp
@@ -43,7 +43,7 @@
   auto theirs =
       std::make_unique<PeerConnections>(context, there, [&](const Address& from, Message) { heard.push_back(from); });
   ASSERT_TRUE(theirs->listen());
-  mine.send(there, Message{Leave{}});
+  mine.send(there, Message{LeaveNotice{}});
   ASSERT_TRUE(run_until(context, [&] { return heard.size() == 1; }));
   EXPECT_EQ(heard.front(), here);
   EXPECT_TRUE(refused.empty());
@@ -53,19 +53,19 @@
   asio::io_context context;
   Address here = free_address(context), nobody = free_address(context);
   std::vector<Address> refused;
-  PeerConnections links(context, here, [](const Address&, Message) {});
-  links.on_refused = [&](const Address& peer) {
+  PeerConnections connections(context, here, [](const Address&, Message) {});
+  connections.on_refused = [&](const Address& peer) {
     refused.push_back(peer);
   };
-  links.send(nobody, Message{Leave{}});
+  connections.send(nobody, Message{LeaveNotice{}});
   ASSERT_TRUE(run_until(context, [&] { return !refused.empty(); }));
   EXPECT_EQ(refused.front(), nobody);
   // A cut, as tests make it, is silence and no refusal.
   refused.clear();
-  links.set_fault(nobody, {true, false, Span{0}});
-  links.send(nobody, Message{Leave{}});
-  links.clear_faults();
-  links.send(here, Message{Leave{}});  // nobody listens here either: the next refusal is this one
+  connections.set_fault(nobody, {true, false, Duration{0}});
+  connections.send(nobody, Message{LeaveNotice{}});
+  connections.clear_faults();
+  connections.send(here, Message{LeaveNotice{}});  // nobody listens here either: the next refusal is this one
   ASSERT_TRUE(run_until(context, [&] { return !refused.empty(); }));
   EXPECT_EQ(refused.front(), here);
 }
@@ -82,15 +82,15 @@
     fillers.push_back(std::make_unique<tcp::socket>(context));
     fillers.back()->async_connect(full.local_endpoint(), [](boost::system::error_code) {});
   }
-  PeerConnections links(context, free_address(context), [](const Address&, Message) {});
+  PeerConnections connections(context, free_address(context), [](const Address&, Message) {});
   bool is_refused = false;
-  links.on_refused = [&](const Address&) {
+  connections.on_refused = [&](const Address&) {
     is_refused = true;
   };
   Address silent{text_of(full.local_endpoint())};
-  links.send(silent, Message{Leave{}});
-  ASSERT_TRUE(
-      run_until(context, [&] { return links.counts().frames_dropped == 1; }));  // given up: the next is dialled anew
+  connections.send(silent, Message{LeaveNotice{}});
+  ASSERT_TRUE(run_until(
+      context, [&] { return connections.counts().frames_dropped == 1; }));  // given up: the next is dialled anew
   EXPECT_FALSE(is_refused);
 }
 
@@ -98,23 +98,23 @@
 TEST(PeerConnections, ALargeMessageArrivesWholeAndGoesPacked) {
   asio::io_context context;
   Address here = free_address(context), there = free_address(context);
-  std::vector<EditAsk> heard;
+  std::vector<EditRequest> heard;
   PeerConnections mine(context, here, [](const Address&, Message) {});
   ASSERT_TRUE(mine.listen());
   PeerConnections theirs(context, there,
-                         [&](const Address&, Message message) { heard.push_back(std::get<EditAsk>(message)); });
+                         [&](const Address&, Message message) { heard.push_back(std::get<EditRequest>(message)); });
   ASSERT_TRUE(theirs.listen());
-  EditAsk ask;
+  EditRequest request;
   for (int i = 0; i < 5000; ++i)
-    ask.body += "{\"name\":\"route-" + std::to_string(i) + "\",\"host\":\"a.example\",\"kind\":\"streaming\"},";
-  mine.send(there, Message{ask});
-  EditAsk small;
+    request.body += "{\"name\":\"route-" + std::to_string(i) + "\",\"host\":\"a.example\",\"kind\":\"streaming\"},";
+  mine.send(there, Message{request});
+  EditRequest small;
   small.body = "{}";
   mine.send(there, Message{small});
   ASSERT_TRUE(run_until(context, [&] { return heard.size() == 2; }));
-  EXPECT_EQ(heard[0].body, ask.body);
+  EXPECT_EQ(heard[0].body, request.body);
   EXPECT_EQ(heard[1].body, "{}");
-  EXPECT_LT(mine.counts().bytes_out * 4, static_cast<std::int64_t>(ask.body.size()));
+  EXPECT_LT(mine.counts().bytes_out * 4, static_cast<std::int64_t>(request.body.size()));
 }
 
 TEST(PeerConnections, APackedFrameThatIsSpoiltEndsItsLinkAlone) {
--- a/packages/placement-map/include/emberdale/placement_map.hpp
+++ b/packages/placement-map/include/emberdale/placement_map.hpp
@@ -15,19 +15,19 @@
 std::vector<std::string> rendezvous_rank(const std::string& key, std::vector<std::string> names);
 
 // Shares out what a cold runner bears among the daemons of its region, or among all.
-using ShareOut = std::function<std::vector<ColdGrant>(const RunnerRow&, const std::vector<std::string>& near,
-                                                      const std::vector<std::string>& all)>;
+using WarmupShareFunction = std::function<std::vector<WarmupGrant>(
+    const RunnerRow&, const std::vector<std::string>& near, const std::vector<std::string>& all)>;
 
 // Example: compute_map(state, configuration, statuses, gateways, live_edges, MapVersion{3, 1}).runners
 PlacementMap compute_map(const FleetState& state, const Configuration& configuration,
                          const std::map<RunnerName, RunnerStatus>& statuses, const std::vector<GatewayRow>& gateways,
                          const std::vector<GatewayRow>& edges, const MapVersion& version,
-                         const ShareOut& share = nullptr);
+                         const WarmupShareFunction& share = nullptr);
 
 // Splits what a cold runner bears among the daemons that may send to it; the sum never exceeds it.
 // Example: split_allowance("r1", 2, {"d1", "d2", "d3"}) gives two daemons one call each.
-std::vector<ColdGrant> split_allowance(const std::string& runner, Integer allowance,
-                                       const std::vector<std::string>& daemons);
+std::vector<WarmupGrant> split_allowance(const std::string& runner, std::int64_t allowance,
+                                         const std::vector<std::string>& daemons);
 
 // How much two maps differ, versions aside. Example: compare_maps(old, fresh) == MapChange::load
 enum class MapChange { none, load, placement };
--- a/packages/placement-map/src/placement_map.cpp
+++ b/packages/placement-map/src/placement_map.cpp
@@ -15,15 +15,15 @@
   return names;
 }
 
-std::vector<ColdGrant> split_allowance(const std::string& runner, Integer allowance,
-                                       const std::vector<std::string>& daemons) {
-  std::vector<ColdGrant> grants;
+std::vector<WarmupGrant> split_allowance(const std::string& runner, std::int64_t allowance,
+                                         const std::vector<std::string>& daemons) {
+  std::vector<WarmupGrant> grants;
   if (daemons.empty() || allowance <= 0)
     return grants;
   auto ranked = rendezvous_rank(runner, daemons);
-  auto count = static_cast<Integer>(ranked.size());
-  for (Integer i = 0; i < count; ++i) {
-    Integer calls = allowance / count + (i < allowance % count ? 1 : 0);
+  auto count = static_cast<std::int64_t>(ranked.size());
+  for (std::int64_t i = 0; i < count; ++i) {
+    std::int64_t calls = allowance / count + (i < allowance % count ? 1 : 0);
     if (calls > 0)
       grants.push_back({Address{ranked[static_cast<std::size_t>(i)]}, calls});
   }
@@ -32,7 +32,8 @@
 
 PlacementMap compute_map(const FleetState& state, const Configuration& configuration,
                          const std::map<RunnerName, RunnerStatus>& statuses, const std::vector<GatewayRow>& gateways,
-                         const std::vector<GatewayRow>& edges, const MapVersion& version, const ShareOut& share) {
+                         const std::vector<GatewayRow>& edges, const MapVersion& version,
+                         const WarmupShareFunction& share) {
   PlacementMap map;
   map.edges = edges;
   map.master = state.master;
@@ -40,9 +41,9 @@
   map.config_revision = state.config_revision;
   std::set<ZoneName> emptied;
   for (const auto& order : configuration.orders)
-    if (order.is_emptied)
+    if (order.is_evacuated)
       emptied.insert(order.zone);
-  map.emptied.assign(emptied.begin(), emptied.end());
+  map.evacuated_zones.assign(emptied.begin(), emptied.end());
   for (const auto& resource : state.resources)
     if (resource.kind == plans_kind)
       map.plans.push_back({PlanName{resource.name}, resource.version, resource.body});
@@ -53,7 +54,7 @@
   for (const auto& runner : configuration.runners) {
     RunnerRow row;
     row.name = runner.name;
-    row.http = runner.http;
+    row.http_address = runner.http;
     row.pool = runner.pool;
     row.zone = runner.zone;
     row.region = runner.region;
@@ -70,10 +71,10 @@
       row.status = "leaving";
     else if (emptied.count(runner.zone) != 0)
       row.status = "emptied";
-    else if (!is_known || !status->second.answers)
+    else if (!is_known || !status->second.is_reachable)
       row.status = "down";
     else
-      row.status = status->second.cold ? "cold" : "warm";
+      row.status = status->second.is_warming_up ? "cold" : "warm";
     if (row.status == "cold") {
       // Daemons of the runner's own region share what it bears; without one, those of the others.
       std::vector<std::string> near, all;
@@ -82,7 +83,7 @@
         if (gateway.region == runner.region)
           near.push_back(gateway.daemon.text);
       }
-      row.grants =
+      row.warmup_grants =
           share ? share(row, near, all) : split_allowance(row.name.text, row.allowance, near.empty() ? all : near);
     }
     auto& region = regions[{runner.pool, runner.region}];
@@ -106,14 +107,14 @@
 MapChange compare_maps(const PlacementMap& before, const PlacementMap& after) {
   auto bare = [](PlacementMap map, bool has_load) {
     map.version = MapVersion{};
-    map.traffic.clear();  // traffic_of tells of it
+    map.routing_table.clear();  // traffic_of tells of it
     if (!has_load) {
       for (auto& runner : map.runners)
         runner.load = 0;
       for (auto& region : map.regions)
         region.load = 0;
     }
-    return encode_message(Message{MapNews{std::move(map), true}});
+    return encode_message(Message{PlacementUpdate{std::move(map), true}});
   };
   if (bare(before, false) != bare(after, false))
     return MapChange::placement;
--- a/packages/placement-map/src/map_slices.cpp
+++ b/packages/placement-map/src/placement_slices.cpp
@@ -1,4 +1,4 @@
-#include "emberdale/map_slices.hpp"
+#include "emberdale/placement_slices.hpp"
 
 #include "emberdale/avro_codec.hpp"
 
@@ -13,7 +13,7 @@
       rows["plan/" + plan.name.text] = encode_plan_row(plan);
     for (const auto& gateway : map.gateways)
       rows["gateway/" + gateway.daemon.text] = encode_gateway_row(gateway);
-    for (const auto& row : map.traffic)
+    for (const auto& row : map.routing_table)
       rows["traffic/" + row.key] = row.body.data;
     rows["master"] = encode_gateway_row({map.master, "", {}, {}});
     for (const auto& edge : map.edges)
@@ -28,7 +28,7 @@
   return rows;
 }
 
-void SlicePublisher::on_map(const PlacementMap& map, Moment now) {
+void SlicePublisher::on_map(const PlacementMap& map, TimePoint now) {
   map_ = map;
   rows_.clear();
   differences_.clear();
@@ -55,45 +55,45 @@
   return found;
 }
 
-void SlicePublisher::feed(const Address& to, Integer stamp, const std::string& name, Topic& topic,
-                          const MapVersion& known, Moment now) {
+void SlicePublisher::feed(const Address& to, std::int64_t stamp, const std::string& name, Topic& topic,
+                          const MapVersion& known, TimePoint now) {
   if (is_held_ || map_.version == MapVersion{})
     return;
   auto cut = rows_.find(name);
   if (cut == rows_.end())
     cut = rows_.emplace(name, std::make_shared<const Rows>(slice_rows(map_, name))).first;
   const auto& rows = cut->second;
-  SliceNews news;
-  news.topic = name;
-  news.version = map_.version;
-  news.config_revision = map_.config_revision;
-  news.age = (now - master_heard_).value;
-  news.stamp = stamp;
+  SliceUpdate update;
+  update.topic = name;
+  update.version = map_.version;
+  update.config_revision = map_.config_revision;
+  update.quorum_age_ms = (now - master_heard_).value;
+  update.subscribe_sent_at = stamp;
   // A subscriber that is further than this home is left alone: versions never go back.
   if (map_.version < known)
     return;
-  news.whole = !(known == topic.sent) || known == MapVersion{} || !topic.rows;
-  news.base = known;
-  if (news.whole) {
+  update.is_snapshot = !(known == topic.sent) || known == MapVersion{} || !topic.rows;
+  update.base_version = known;
+  if (update.is_snapshot) {
     for (const auto& [key, body] : *rows)
-      news.rows.push_back({key, {body}});
+      update.rows.push_back({key, {body}});
   } else {
     const Difference& change = difference(topic.rows, rows);
-    news.rows = change.rows;
-    news.gone = change.gone;
+    update.rows = change.rows;
+    update.removed_keys = change.gone;
   }
-  rows_sent_ += static_cast<std::int64_t>(news.rows.size());
+  rows_sent_ += static_cast<std::int64_t>(update.rows.size());
   topic.sent = map_.version;
   topic.rows = rows;
-  out_.push_back({to, std::move(news)});
+  out_.push_back({to, std::move(update)});
 }
 
-void SlicePublisher::on_subscribe(const Address& from, const Subscribe& subscribe, Moment now) {
+void SlicePublisher::on_subscribe(const Address& from, const Subscribe& subscribe, TimePoint now) {
   auto& subscriber = subscribers_[from];
   subscriber.heard = now;
-  subscriber.stamp = subscribe.stamp;
-  subscriber.report =
-      InForce{subscribe.sender, subscribe.version, subscribe.config_revision, subscribe.granted, subscribe.leaving, 0};
+  subscriber.stamp = subscribe.sent_at;
+  subscriber.report = DaemonStatus{subscribe.sender,    subscribe.version,     subscribe.config_revision,
+                                   subscribe.has_grant, subscribe.is_draining, 0};
   std::map<std::string, Topic> topics;
   for (const auto& known : subscribe.topics) {
     auto& topic = topics[known.topic] = std::move(subscriber.topics[known.topic]);
@@ -103,16 +103,16 @@
   differences_.clear();
 }
 
-std::vector<InForce> SlicePublisher::in_force(Moment now) const {
-  std::vector<InForce> reports;
+std::vector<DaemonStatus> SlicePublisher::in_force(TimePoint now) const {
+  std::vector<DaemonStatus> reports;
   for (const auto& [address, subscriber] : subscribers_) {
     reports.push_back(subscriber.report);
-    reports.back().age = (now - subscriber.heard).value;
+    reports.back().age_ms = (now - subscriber.heard).value;
   }
   return reports;
 }
 
-void SlicePublisher::forget_silent(Moment now, Span silence) {
+void SlicePublisher::forget_silent(TimePoint now, Duration silence) {
   for (auto entry = subscribers_.begin(); entry != subscribers_.end();) {
     if (now - entry->second.heard > silence)
       entry = subscribers_.erase(entry);
@@ -121,27 +121,27 @@
   }
 }
 
-std::vector<Sending> SlicePublisher::take_out() { return std::exchange(out_, {}); }
+std::vector<OutboundMessage> SlicePublisher::drain_outbound() { return std::exchange(out_, {}); }
 
-bool SliceHolder::apply(const SliceNews& news) {
-  if (news.version < version_)
+bool SliceReplica::apply(const SliceUpdate& update) {
+  if (update.version < version_)
     return false;
-  if (news.whole) {
-    if (news.version == version_)
+  if (update.is_snapshot) {
+    if (update.version == version_)
       return false;
     rows_.clear();
   } else {
-    if (!(news.base == version_))
+    if (!(update.base_version == version_))
       return false;
-    if (news.version == version_ && news.rows.empty() && news.gone.empty())
+    if (update.version == version_ && update.rows.empty() && update.removed_keys.empty())
       return false;
   }
-  for (const auto& row : news.rows)
+  for (const auto& row : update.rows)
     rows_[row.key] = row.body.data;
-  for (const auto& key : news.gone)
+  for (const auto& key : update.removed_keys)
     rows_.erase(key);
-  version_ = news.version;
-  config_revision_ = news.config_revision;
+  version_ = update.version;
+  config_revision_ = update.config_revision;
   return true;
 }
 
--- a/packages/program-settings/include/emberdale/program_settings.hpp
+++ b/packages/program-settings/include/emberdale/program_settings.hpp
@@ -15,7 +15,7 @@
   DaemonEntry self;
   std::vector<Address> seeds;
   std::string data_folder;
-  bool may_fault_links = false;
+  bool may_fault_connections = false;
 };
 
 // Reads --settings (JSON) first and lays the flags over it. Every finding names its place.
@@ -24,8 +24,8 @@
                               std::vector<std::string>& findings);
 
 // Milliseconds on a clock that no one sets and that runs on while the machine sleeps.
-// Example: Moment now = steady_now();
-Moment steady_now();
+// Example: TimePoint now = steady_now();
+TimePoint steady_now();
 
 // Example: std::string id = random_id();   // 16 random bytes as hex
 std::string random_id();
--- a/packages/program-settings/src/program_settings.cpp
+++ b/packages/program-settings/src/program_settings.cpp
@@ -94,8 +94,8 @@
     return value;
   };
   settings.self.address.text = address("link");
-  settings.self.http = address("http");
-  if (!settings.self.http.empty() && settings.self.http == settings.self.address.text)
+  settings.self.http_address = address("http");
+  if (!settings.self.http_address.empty() && settings.self.http_address == settings.self.address.text)
     findings.push_back(place["http"] + ": must differ from the link address");
   settings.self.zone.text = text("zone");
   if (settings.self.zone.empty())
@@ -115,23 +115,23 @@
     findings.push_back(place["seeds"] + ": three seed addresses at most");
   settings.data_folder = arguments.count("--data-folder") != 0 ? text("data_folder") : "";
   auto faults = arguments.find("--allow-link-faults");
-  settings.may_fault_links = faults != arguments.end() && faults->second.isBool() && faults->second.asBool();
+  settings.may_fault_connections = faults != arguments.end() && faults->second.isBool() && faults->second.asBool();
   if (file.contains("allow_link_faults")) {
     if (file["allow_link_faults"].is_boolean())
-      settings.may_fault_links = settings.may_fault_links || file["allow_link_faults"].get<bool>();
+      settings.may_fault_connections = settings.may_fault_connections || file["allow_link_faults"].get<bool>();
     else
       findings.push_back(file_name + ": /allow_link_faults: must be true or false");
   }
   std::random_device device;
-  settings.self.incarnation =
-      static_cast<Integer>((static_cast<std::uint64_t>(device()) << 20) ^ static_cast<std::uint64_t>(::time(nullptr)));
+  settings.self.incarnation = static_cast<std::int64_t>((static_cast<std::uint64_t>(device()) << 20) ^
+                                                        static_cast<std::uint64_t>(::time(nullptr)));
   return settings;
 }
 
-Moment steady_now() {
+TimePoint steady_now() {
   timespec time{};
   clock_gettime(CLOCK_BOOTTIME, &time);
-  return Moment{static_cast<std::int64_t>(time.tv_sec) * 1000 + time.tv_nsec / 1000000};
+  return TimePoint{static_cast<std::int64_t>(time.tv_sec) * 1000 + time.tv_nsec / 1000000};
 }
 
 std::string random_id() {
--- a/packages/traffic-table/include/emberdale/traffic_table.hpp
+++ b/packages/routing-table/include/emberdale/routing_table.hpp
@@ -12,15 +12,15 @@
 
 namespace emberdale {
 
-inline constexpr const char* traffic_kind = "traffic-table";  // kind of its resource in the register
-inline constexpr const char* traffic_name = "current";
+inline constexpr const char* routing_table_kind = "routing-table";  // kind of its resource in the register
+inline constexpr const char* routing_table_name = "current";
 
 struct PoolShare {
   PoolName pool;
   std::int64_t share = 1;
 };
 
-struct TrafficRoute {
+struct Route {
   std::string name, host, path_prefix;  // the prefix begins and ends with a slash
   bool is_repeatable = false;           // kind "retry_safe", or "streaming" that may be resumed
   bool is_streaming = false, is_resumable = false, is_sticky = false;
@@ -33,23 +33,23 @@
   std::vector<RegionName> homes;     // empty: free
 };
 
-struct TrafficPool {
+struct RoutePool {
   PoolName name;
   std::string health_path = "/health";
-  std::int64_t max_links = 0;                 // connections a runner takes from all daemons together; 0: not stated
-  double warmup_s = 0, cold_per_s = 0;        // 0: never cold
-  std::int64_t slots = 0, memory_tokens = 0;  // of a model runner; 0: not stated
+  std::int64_t max_connections = 0;  // connections a runner takes from all daemons together; 0: not stated
+  double warmup_s = 0, warmup_requests_per_s = 0;  // 0: never cold
+  std::int64_t slots = 0, memory_tokens = 0;       // of a model runner; 0: not stated
 };
 
-struct TrafficLimits {
+struct RequestLimits {
   std::int64_t max_header_bytes = 16384, max_body_bytes = 4 << 20, header_timeout_ms = 3000, idle_timeout_ms = 15000;
 };
 
-struct TrafficTable {
-  Integer revision = 0;
-  std::vector<TrafficRoute> routes;
-  std::vector<TrafficPool> pools;
-  TrafficLimits limits;
+struct RoutingTable {
+  std::int64_t revision = 0;
+  std::vector<Route> routes;
+  std::vector<RoutePool> pools;
+  RequestLimits limits;
 };
 
 // Reads one document in our words, e.g.
@@ -58,7 +58,7 @@
 //      "target_ms":1000,"rank":1,"pools":[{"pool":"m","share":90},{"pool":"n","share":10}],"max_sends":1,"sticky":true,
 //      "resumable":false,"gap_ms":400,"home_regions":["north"]},
 //     {"name":"r2", ..., "pool":"m"}],
-//    "pools":[{"name":"m","health_path":"/health","max_links":390,"warmup_s":3.0,"cold_per_s":45.0,
+//    "pools":[{"name":"m","health_path":"/health","max_connections":390,"warmup_s":3.0,"warmup_requests_per_s":45.0,
 //      "runtime":{"slots":64,"memory_tokens":319818}}],
 //    "limits":{"max_header_bytes":16384,"max_body_bytes":4194304,"header_timeout_ms":3000,"idle_timeout_ms":15000}}
 // Fields that are not known are kept in the document and passed over here. All findings come together, each
@@ -66,18 +66,18 @@
 // a field missing (of the lists and parts of the document, "limits" alone may be) or of the wrong kind, a route that
 // names an unknown pool, two routes with the same host and prefix, two items of one name, shares that sum to 0, a
 // deadline of 0, a revision that is no positive integer.
-// Example: auto table = read_traffic_table(body, findings); if (!table) report(findings);
-std::optional<TrafficTable> read_traffic_table(const std::string& body, std::vector<Finding>& findings);
+// Example: auto table = read_routing_table(body, findings); if (!table) report(findings);
+std::optional<RoutingTable> read_routing_table(const std::string& body, std::vector<Finding>& findings);
 
 // One route or pool alone, as it travels in a row of the map; nothing if it can't be read.
-// Example: read_traffic_route(R"({"name":"r1",...})")->deadline_ms == 8000
-std::optional<TrafficRoute> read_traffic_route(const std::string& body);
-std::optional<TrafficPool> read_traffic_pool(const std::string& body);
-TrafficLimits read_traffic_limits(const std::string& body);  // what can't be read keeps its default
+// Example: read_route_document(R"({"name":"r1",...})")->deadline_ms == 8000
+std::optional<Route> read_route_document(const std::string& body);
+std::optional<RoutePool> read_route_pool(const std::string& body);
+RequestLimits read_request_limits(const std::string& body);  // what can't be read keeps its default
 
 // The document cut into rows for the map, keyed "route/NAME", "pool/NAME", "limits", "revision".
-// Example: split_traffic_table(body).front().first == "limits"
-std::vector<std::pair<std::string, std::string>> split_traffic_table(const std::string& body);
+// Example: split_routing_table(body).front().first == "limits"
+std::vector<std::pair<std::string, std::string>> split_routing_table(const std::string& body);
 
 // A change worked out on the newest document (empty: none yet), which builds on `base` (0 for the first).
 //   act "replace": `body` is the whole next document.
@@ -87,29 +87,28 @@
 // may have been taken, too long ago to tell. The result keeps (in the resource's text, beside the document) what was
 // taken, see ChangeHistory, so that the same change sent again is answered 200 without effect, also after others were
 // built on it. The same change is the same act, base and JSON; layout and order of members do not count.
-struct TrafficChange {
+struct RoutingTableChange {
   int code = 200;
-  bool is_repeat = false;  // taken before: nothing changes
-  std::string stored;      // the resource's next text (code 200 and not a repeat)
-  Integer revision = 0;    // the current one after this change
+  bool is_repeat = false;     // taken before: nothing changes
+  std::string stored;         // the resource's next text (code 200 and not a repeat)
+  std::int64_t revision = 0;  // the current one after this change
   std::vector<Finding> findings;
   std::string reason;
 };
-// Example: change_traffic_table(stored, "replace", 0, body).code == 200
-TrafficChange change_traffic_table(const std::string& stored, const std::string& act, Integer base,
-                                   const std::string& body);
+// Example: change_routing_table(stored, "replace", 0, body).code == 200
+RoutingTableChange change_routing_table(const std::string& stored, const std::string& act, std::int64_t base,
+                                        const std::string& body);
 
 // The operator's document within the resource's text, exactly as it stands in force; "" if there is none.
-// Example: traffic_document(stored)
-std::string traffic_document(const std::string& stored);
+// Example: routing_table_document(stored)
+std::string routing_table_document(const std::string& stored);
 
 // The route of the host whose prefix begins the path and is longest; null if there is none. The host is compared
 // without case and without a port. Example: find_route(routes, "a.example:80", "/x/y")->name == "r1"
-const TrafficRoute* find_route(const std::vector<TrafficRoute>& routes, const std::string& host,
-                               const std::string& path);
+const Route* find_route(const std::vector<Route>& routes, const std::string& host, const std::string& path);
 
 // The pool of one call by the shares: the same for the same key in every daemon.
 // Example: choose_pool(route, "9c41d07be2a35f68")
-const PoolName& choose_pool(const TrafficRoute& route, const std::string& key);
+const PoolName& choose_pool(const Route& route, const std::string& key);
 
 }  // namespace emberdale
--- a/packages/traffic-table/src/change_history.cpp
+++ b/packages/routing-table/src/change_history.cpp
@@ -11,14 +11,14 @@
 
 constexpr std::size_t legacy_mark_size = 16;
 
-std::string identity_text(const TrafficChangeId& change) {
+std::string identity_text(const RoutingTableChangeId& change) {
   return change.act + "\n" + std::to_string(change.base) + "\n" + change.text;
 }
 
-std::string digest_of(const TrafficChangeId& change) { return content_digest(identity_text(change)); }
+std::string digest_of(const RoutingTableChangeId& change) { return content_digest(identity_text(change)); }
 
 // The mark that versions before SHA-256 kept: a 64-bit hash in hex.
-std::string legacy_mark_of(const TrafficChangeId& change) {
+std::string legacy_mark_of(const RoutingTableChangeId& change) {
   std::uint64_t hash = stable_hash(identity_text(change));
   std::string mark(legacy_mark_size, '0');
   for (std::size_t i = mark.size(); i-- > 0; hash >>= 4)
@@ -27,8 +27,8 @@
 }
 
 // Revisions are above 0; anything else reads as 0.
-Integer read_revision(const Json& value) {
-  return value.is_number_integer() ? std::max<Integer>(value.get<Integer>(), 0) : 0;
+std::int64_t read_revision(const Json& value) {
+  return value.is_number_integer() ? std::max<std::int64_t>(value.get<std::int64_t>(), 0) : 0;
 }
 
 const Json& member(const Json& object, const char* key) {
@@ -46,7 +46,7 @@
   return {read_revision(member(stored, "revision")), digest.is_string() ? digest.get<std::string>() : ""};
 }
 
-ChangeHistory ChangeHistory::read(const Json& stored, Integer current) {
+ChangeHistory ChangeHistory::read(const Json& stored, std::int64_t current) {
   ChangeHistory history;
   if (!stored.is_object())
     return history;
@@ -71,8 +71,8 @@
   return history;
 }
 
-bool ChangeHistory::is_chain_to(Integer current) const {
-  Integer newest = forgotten_;
+bool ChangeHistory::is_chain_to(std::int64_t current) const {
+  std::int64_t newest = forgotten_;
   for (const Entry& entry : entries_) {
     if (entry.revision <= newest)
       return false;
@@ -94,35 +94,35 @@
   stored["taken"] = std::move(taken);
 }
 
-ChangeMemory ChangeHistory::recall(const TrafficChangeId& change) const {
+ChangeHistoryStatus ChangeHistory::recall(const RoutingTableChangeId& change) const {
   if (change.base < 0 || change.revision <= change.base)
-    return ChangeMemory::not_taken;
+    return ChangeHistoryStatus::not_taken;
   if (change.base < forgotten_)
-    return change.revision <= forgotten_ ? ChangeMemory::uncertain : ChangeMemory::not_taken;
+    return change.revision <= forgotten_ ? ChangeHistoryStatus::uncertain : ChangeHistoryStatus::not_taken;
   // The one change that was taken on this base, if any: it made the revision after it.
   auto entry = entries_.begin();
   if (change.base != forgotten_) {
     entry = std::lower_bound(entries_.begin(), entries_.end(), change.base,
-                             [](const Entry& known, Integer base) { return known.revision < base; });
+                             [](const Entry& known, std::int64_t base) { return known.revision < base; });
     if (entry == entries_.end() || entry->revision != change.base)
-      return ChangeMemory::not_taken;
+      return ChangeHistoryStatus::not_taken;
     ++entry;
   }
   if (entry == entries_.end() || entry->revision != change.revision)
-    return ChangeMemory::not_taken;
+    return ChangeHistoryStatus::not_taken;
   if (entry->digest.size() == content_digest_size)
-    return entry->digest == digest_of(change) ? ChangeMemory::taken : ChangeMemory::not_taken;
+    return entry->digest == digest_of(change) ? ChangeHistoryStatus::taken : ChangeHistoryStatus::not_taken;
   if (entry->digest.size() == legacy_mark_size)
-    return entry->digest == legacy_mark_of(change) ? ChangeMemory::uncertain : ChangeMemory::not_taken;
-  return ChangeMemory::uncertain;
+    return entry->digest == legacy_mark_of(change) ? ChangeHistoryStatus::uncertain : ChangeHistoryStatus::not_taken;
+  return ChangeHistoryStatus::uncertain;
 }
 
-bool ChangeHistory::newest_is_legacy_mark_of(const TrafficChangeId& change) const {
+bool ChangeHistory::newest_is_legacy_mark_of(const RoutingTableChangeId& change) const {
   return !entries_.empty() && entries_.back().revision == change.revision &&
          entries_.back().digest == legacy_mark_of(change);
 }
 
-void ChangeHistory::add(const TrafficChangeId& change) {
+void ChangeHistory::add(const RoutingTableChangeId& change) {
   entries_.push_back({change.revision, digest_of(change)});
   trim();
 }
