--- a/packages/traffic-table/src/traffic_table.cpp
+++ b/packages/routing-table/src/routing_table.cpp
@@ -1,4 +1,4 @@
-#include "emberdale/traffic_table.hpp"
+#include "emberdale/routing_table.hpp"
 #include "emberdale/change_history.hpp"
 #include "emberdale/json_text.hpp"
 
@@ -22,7 +22,7 @@
 constexpr std::int64_t highest_share = 1000000000;  // so that no sum of shares overflows
 constexpr std::uint64_t share_seed = 0x5ca1ab1e;    // apart from other uses of the same key
 
-std::string document_name() { return std::string(traffic_kind) + "/" + traffic_name; }
+std::string document_name() { return std::string(routing_table_kind) + "/" + routing_table_name; }
 
 // Where each value begins in a text that parses and isn't too deep, and which keys stand twice.
 class TextWalk {
@@ -296,8 +296,8 @@
 
 std::string item_place(const std::string& list, std::size_t index) { return list + "/" + std::to_string(index); }
 
-TrafficRoute read_route(const Json& item, const std::string& at, FieldReader& reader) {
-  TrafficRoute route;
+Route read_route(const Json& item, const std::string& at, FieldReader& reader) {
+  Route route;
   if (!item.is_object()) {
     reader.error(at, "must be an object");
     return route;
@@ -357,8 +357,8 @@
   return route;
 }
 
-TrafficPool read_pool(const Json& item, const std::string& at, FieldReader& reader) {
-  TrafficPool pool;
+RoutePool read_pool(const Json& item, const std::string& at, FieldReader& reader) {
+  RoutePool pool;
   if (!item.is_object()) {
     reader.error(at, "must be an object");
     return pool;
@@ -367,9 +367,9 @@
   pool.health_path = reader.text(item, at, "health_path", false, pool.health_path);
   if (pool.health_path[0] != '/')
     reader.error(at + "/health_path", "must begin with '/'");
-  pool.max_links = reader.number(item, at, "max_links", pool.max_links, 0);
+  pool.max_connections = reader.number(item, at, "max_links", pool.max_connections, 0);
   pool.warmup_s = reader.seconds(item, at, "warmup_s", pool.warmup_s);
-  pool.cold_per_s = reader.seconds(item, at, "cold_per_s", pool.cold_per_s);
+  pool.warmup_requests_per_s = reader.seconds(item, at, "cold_per_s", pool.warmup_requests_per_s);
   if (const Json* runtime = reader.part(item, at, "runtime", Json::value_t::object)) {
     pool.slots = reader.number(*runtime, at + "/runtime", "slots", pool.slots, 0);
     pool.memory_tokens = reader.number(*runtime, at + "/runtime", "memory_tokens", pool.memory_tokens, 0);
@@ -377,8 +377,8 @@
   return pool;
 }
 
-TrafficLimits read_limits(const Json& item, const std::string& at, FieldReader& reader) {
-  TrafficLimits limits;
+RequestLimits read_limits(const Json& item, const std::string& at, FieldReader& reader) {
+  RequestLimits limits;
   limits.max_header_bytes = reader.number(item, at, "max_header_bytes", limits.max_header_bytes, 1);
   limits.max_body_bytes = reader.number(item, at, "max_body_bytes", limits.max_body_bytes, 0);
   limits.header_timeout_ms = reader.number(item, at, "header_timeout_ms", limits.header_timeout_ms, 1);
@@ -386,7 +386,7 @@
   return limits;
 }
 
-Integer read_revision(const Json& document, FieldReader& reader) {
+std::int64_t read_revision(const Json& document, FieldReader& reader) {
   return reader.required_number(document, "", "revision", 0, 1, std::numeric_limits<std::int64_t>::max());
 }
 
@@ -404,9 +404,9 @@
 }
 
 // The rules of a whole document. Places are those of the document; lines and columns are given later.
-std::optional<TrafficTable> check_document(const Json& document, std::vector<Finding>& findings) {
+std::optional<RoutingTable> check_document(const Json& document, std::vector<Finding>& findings) {
   FieldReader reader(findings);
-  TrafficTable table;
+  RoutingTable table;
   table.revision = read_revision(document, reader);
   std::unordered_set<std::string> pool_names, route_names;
   std::map<std::pair<std::string, std::string>, std::string> claims;  // host and prefix: the route
@@ -424,7 +424,7 @@
       const Json& item = (*routes)[i];
       std::string place = item_place("/routes", i);
       table.routes.push_back(read_route(item, place, reader));
-      const TrafficRoute& route = table.routes.back();
+      const Route& route = table.routes.back();
       if (!route.name.empty() && !route_names.insert(route.name).second)
         reader.error(place + "/name", "another route is named '" + route.name + "'");
       if (!route.host.empty() && !route.path_prefix.empty()) {
@@ -559,17 +559,17 @@
   }
 }
 
-TrafficChangeId identity_of(const std::string& act, Integer base, const Json& change) {
+RoutingTableChangeId identity_of(const std::string& act, std::int64_t base, const Json& change) {
   const Json* revision = FieldReader::find(change, "revision");
   bool is_whole = revision != nullptr && revision->is_number_integer();
-  return {act, base, is_whole ? revision->get<Integer>() : 0, json_text(change)};
+  return {act, base, is_whole ? revision->get<std::int64_t>() : 0, json_text(change)};
 }
 
 // What the resource's text holds; a text that can't be read counts as none.
 struct StoredTable {
   Json document = Json::object();
   ChangeHistory history;
-  Integer revision = 0;
+  std::int64_t revision = 0;
 };
 
 StoredTable read_stored(const std::string& stored) {
@@ -580,17 +580,17 @@
   const Json* revision = FieldReader::find(json["document"], "revision");
   if (revision == nullptr || !revision->is_number_integer())
     return table;
-  table.revision = revision->get<Integer>();
+  table.revision = revision->get<std::int64_t>();
   table.history = ChangeHistory::read(json, table.revision);
   table.document = std::move(json["document"]);
   return table;
 }
 
-ChangeMemory recall_change(const StoredTable& table, const TrafficChangeId& change) {
-  ChangeMemory memory = table.history.recall(change);
+ChangeHistoryStatus recall_change(const StoredTable& table, const RoutingTableChangeId& change) {
+  ChangeHistoryStatus memory = table.history.recall(change);
   bool is_whole_text = change.act == "replace" && table.history.newest_is_legacy_mark_of(change);
-  if (memory == ChangeMemory::uncertain && is_whole_text)
-    return json_text(table.document) == change.text ? ChangeMemory::taken : ChangeMemory::not_taken;
+  if (memory == ChangeHistoryStatus::uncertain && is_whole_text)
+    return json_text(table.document) == change.text ? ChangeHistoryStatus::taken : ChangeHistoryStatus::not_taken;
   return memory;
 }
 
@@ -609,7 +609,7 @@
 
 }  // namespace
 
-std::optional<TrafficTable> read_traffic_table(const std::string& body, std::vector<Finding>& findings) {
+std::optional<RoutingTable> read_routing_table(const std::string& body, std::vector<Finding>& findings) {
   auto document = parse_object(body, findings);
   if (!document)
     return std::nullopt;
@@ -619,20 +619,18 @@
   return table;
 }
 
-std::optional<TrafficRoute> read_traffic_route(const std::string& body) {
-  return read_row<TrafficRoute>(body, read_route);
-}
+std::optional<Route> read_route_document(const std::string& body) { return read_row<Route>(body, read_route); }
 
-std::optional<TrafficPool> read_traffic_pool(const std::string& body) { return read_row<TrafficPool>(body, read_pool); }
+std::optional<RoutePool> read_route_pool(const std::string& body) { return read_row<RoutePool>(body, read_pool); }
 
-TrafficLimits read_traffic_limits(const std::string& body) {
+RequestLimits read_request_limits(const std::string& body) {
   std::vector<Finding> findings;
   auto json = parse_object(body, findings);
   FieldReader reader(findings);
-  return json ? read_limits(*json, "", reader) : TrafficLimits{};
+  return json ? read_limits(*json, "", reader) : RequestLimits{};
 }
 
-std::vector<std::pair<std::string, std::string>> split_traffic_table(const std::string& body) {
+std::vector<std::pair<std::string, std::string>> split_routing_table(const std::string& body) {
   std::vector<std::pair<std::string, std::string>> rows;
   std::vector<Finding> findings;
   auto document = parse_object(body, findings);
@@ -654,9 +652,9 @@
   return rows;
 }
 
-TrafficChange change_traffic_table(const std::string& stored, const std::string& act, Integer base,
-                                   const std::string& body) {
-  TrafficChange result;
+RoutingTableChange change_routing_table(const std::string& stored, const std::string& act, std::int64_t base,
+                                        const std::string& body) {
+  RoutingTableChange result;
   StoredTable table = read_stored(stored);
   result.revision = table.revision;
   auto refuse = [&](int code, const std::string& reason) {
@@ -677,13 +675,13 @@
   auto change = parse_object(body, result.findings);
   if (!change)
     return refuse_findings();
-  TrafficChangeId identity = identity_of(act, base, *change);
-  ChangeMemory memory = recall_change(table, identity);
-  if (memory == ChangeMemory::taken) {
+  RoutingTableChangeId identity = identity_of(act, base, *change);
+  ChangeHistoryStatus memory = recall_change(table, identity);
+  if (memory == ChangeHistoryStatus::taken) {
     result.is_repeat = true;
     return result;
   }
-  if (memory == ChangeMemory::uncertain)
+  if (memory == ChangeHistoryStatus::uncertain)
     return refuse(504, "may have been taken before revision " + std::to_string(table.revision) +
                            ", too long ago to tell; read the table back");
   if (base != table.revision)
@@ -705,8 +703,8 @@
     next = std::move(amended->document);
   }
   if (const Json* revision = FieldReader::find(next, "revision");
-      revision != nullptr && revision->is_number_integer() && revision->get<Integer>() > 0 &&
-      revision->get<Integer>() <= table.revision) {
+      revision != nullptr && revision->is_number_integer() && revision->get<std::int64_t>() > 0 &&
+      revision->get<std::int64_t>() <= table.revision) {
     std::size_t first = result.findings.size();
     result.findings.push_back({"error", document_name(), "/revision", 0, 0,
                                "must be above the current one, " + std::to_string(table.revision)});
@@ -714,7 +712,7 @@
   }
   if (has_errors(result.findings))
     return refuse_findings();
-  result.revision = next["revision"].get<Integer>();
+  result.revision = next["revision"].get<std::int64_t>();
   table.history.add(identity);
   Json text = Json::object();
   text["document"] = std::move(next);
@@ -723,16 +721,15 @@
   return result;
 }
 
-std::string traffic_document(const std::string& stored) {
+std::string routing_table_document(const std::string& stored) {
   StoredTable table = read_stored(stored);
   return table.revision == 0 ? "" : json_text(table.document);
 }
 
-const TrafficRoute* find_route(const std::vector<TrafficRoute>& routes, const std::string& host,
-                               const std::string& path) {
+const Route* find_route(const std::vector<Route>& routes, const std::string& host, const std::string& path) {
   std::string_view asked = bare_host(host);
-  const TrafficRoute* longest = nullptr;
-  for (const TrafficRoute& route : routes) {
+  const Route* longest = nullptr;
+  for (const Route& route : routes) {
     const std::string& prefix = route.path_prefix;
     if (prefix.size() > path.size() || (longest != nullptr && prefix.size() <= longest->path_prefix.size()))
       continue;
@@ -745,7 +742,7 @@
   return longest;
 }
 
-const PoolName& choose_pool(const TrafficRoute& route, const std::string& key) {
+const PoolName& choose_pool(const Route& route, const std::string& key) {
   static const PoolName none;
   std::uint64_t sum = 0;
   for (const PoolShare& share : route.pools)
--- a/packages/traffic-table/tests/change_history_test.cpp
+++ b/packages/routing-table/tests/change_history_test.cpp
@@ -1,6 +1,6 @@
 // A change that was taken is never refused when it is sent again; one that was not is never acknowledged.
 #include "emberdale/change_history.hpp"
-#include "emberdale/traffic_table.hpp"
+#include "emberdale/routing_table.hpp"
 
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
@@ -15,11 +15,11 @@
 
 struct Order {
   std::string act;
-  Integer base = 0;
+  std::int64_t base = 0;
   std::string body;
 };
 
-std::string table_of(Integer revision, const std::string& prefix = "/x/") {
+std::string table_of(std::int64_t revision, const std::string& prefix = "/x/") {
   Json table{{"revision", revision}};
   table["pools"] = Json::array({Json{{"name", "m"}}});
   table["routes"] = Json::array({Json{{"name", "r1"},
@@ -31,14 +31,14 @@
   return table.dump();
 }
 
-std::string amendment_of(Integer revision, const std::string& pool) {
+std::string amendment_of(std::int64_t revision, const std::string& pool) {
   Json change{{"revision", revision}};
   change["upsert"]["pools"] = Json::array({Json{{"name", pool}}});
   return change.dump();
 }
 
-TrafficChange send(const std::string& stored, const Order& order) {
-  return change_traffic_table(stored, order.act, order.base, order.body);
+RoutingTableChange send(const std::string& stored, const Order& order) {
+  return change_routing_table(stored, order.act, order.base, order.body);
 }
 
 // The mark that versions before SHA-256 kept beside the document.
@@ -51,7 +51,7 @@
   return mark;
 }
 
-std::string legacy_stored(const std::string& document, const std::vector<std::pair<Integer, std::string>>& marks) {
+std::string legacy_stored(const std::string& document, const std::vector<std::pair<std::int64_t, std::string>>& marks) {
   Json stored{{"document", Json::parse(document)}, {"taken", Json::array()}};
   for (const auto& [revision, mark] : marks)
     stored["taken"].push_back({{"digest", mark}, {"revision", revision}});
@@ -64,7 +64,7 @@
   std::vector<Order> orders;
   explicit Past(std::size_t count) {
     for (std::size_t i = 0; i < count; ++i) {
-      orders.push_back({"replace", static_cast<Integer>(i), table_of(static_cast<Integer>(i) + 1)});
+      orders.push_back({"replace", static_cast<std::int64_t>(i), table_of(static_cast<std::int64_t>(i) + 1)});
       stored = send(stored, orders.back()).stored;
     }
   }
@@ -105,8 +105,8 @@
 }
 
 TEST(ChangeHistory, AFullListOfAnEarlierVersionHadOthersBeforeIt) {
-  std::vector<std::pair<Integer, std::string>> marks;
-  for (Integer revision = 11; revision <= 138; ++revision)
+  std::vector<std::pair<std::int64_t, std::string>> marks;
+  for (std::int64_t revision = 11; revision <= 138; ++revision)
     marks.push_back({revision, "00000000000000ff"});
   std::string stored = legacy_stored(table_of(138), marks);
   EXPECT_EQ(send(stored, {"replace", 4, table_of(5)}).code, 504);    // before the list
@@ -134,8 +134,9 @@
   for (std::size_t i = 0; i < codes.size(); ++i)
     EXPECT_EQ(codes[i], i + ChangeHistory::digest_bound >= codes.size() ? 200 : 504) << i;
   // With a digest, a different change on the same base is refused; without one it can't be told.
-  auto at = [&](std::size_t i, Integer step) {
-    return send(past.stored, {"replace", static_cast<Integer>(i), table_of(static_cast<Integer>(i) + step, "/z/")})
+  auto at = [&](std::size_t i, std::int64_t step) {
+    return send(past.stored,
+                {"replace", static_cast<std::int64_t>(i), table_of(static_cast<std::int64_t>(i) + step, "/z/")})
         .code;
   };
   EXPECT_EQ(at(whole, 1), 412);
@@ -166,7 +167,7 @@
 // The reference: every change that was ever taken, in full.
 class HistoryModel {
  public:
-  void take(const Order& order, Integer revision) {
+  void take(const Order& order, std::int64_t revision) {
     place_[key(order)] = count_++;
     current = revision;
   }
@@ -177,7 +178,7 @@
       return std::nullopt;
     return count_ - 1 - found->second;
   }
-  Integer current = 0;
+  std::int64_t current = 0;
 
  private:
   static std::string key(const Order& order) {
@@ -187,15 +188,15 @@
   std::size_t count_ = 0;
 };
 
-Order random_order(RandomGenerator& random, Integer current) {
-  Integer base = random.chance(0.7) ? current : std::max<Integer>(0, current - 2 + random.below(4));
-  Integer revision = base + 1 + random.below(3);
+Order random_order(RandomGenerator& random, std::int64_t current) {
+  std::int64_t base = random.chance(0.7) ? current : std::max<std::int64_t>(0, current - 2 + random.below(4));
+  std::int64_t revision = base + 1 + random.below(3);
   if (current == 0 || random.chance(0.4))
     return {"replace", base, table_of(revision, "/" + std::to_string(random.below(3)) + "/")};
   return {"amend", base, amendment_of(revision, "p" + std::to_string(random.below(3)))};
 }
 
-void check_answer(const HistoryModel& model, const Order& order, const TrafficChange& answer) {
+void check_answer(const HistoryModel& model, const Order& order, const RoutingTableChange& answer) {
   auto since = model.taken_since(order);
   if (since) {
     RC_ASSERT(answer.code == (*since < ChangeHistory::digest_bound ? 200 : 504));
@@ -219,7 +220,7 @@
     if (!sent.empty() && random.chance(0.4))
       order = sent[static_cast<std::size_t>(random.below(static_cast<std::int64_t>(sent.size())))];
     sent.push_back(order);
-    TrafficChange answer = send(stored, order);
+    RoutingTableChange answer = send(stored, order);
     check_answer(model, order, answer);
     if (answer.code != 200 || answer.is_repeat)
       continue;
--- a/packages/traffic-table/tests/traffic_table_test.cpp
+++ b/packages/routing-table/tests/routing_table_test.cpp
@@ -1,4 +1,4 @@
-#include "emberdale/traffic_table.hpp"
+#include "emberdale/routing_table.hpp"
 #include "emberdale/spoiled_text.hpp"
 
 #include <gtest/gtest.h>
@@ -18,7 +18,7 @@
   return {{"name", name},        {"host", "a.example"}, {"path_prefix", prefix},
           {"kind", "streaming"}, {"horizon_ms", 8000},  {"pool", pool}};
 }
-Json good_table(Integer revision = 7) {
+Json good_table(std::int64_t revision = 7) {
   Json table{{"revision", revision}};
   table["routes"] = Json::array({route("r1", "/x/"), route("r2", "/x/y/")});
   table["pools"] = Json::array({Json{{"name", "m"}}, Json{{"name", "n"}}});
@@ -30,7 +30,7 @@
 }
 std::vector<Finding> findings_of(const std::string& body) {
   std::vector<Finding> findings;
-  auto table = read_traffic_table(body, findings);
+  auto table = read_routing_table(body, findings);
   EXPECT_EQ(table.has_value(), findings.empty()) << body.substr(0, 200);
   return findings;
 }
@@ -45,14 +45,14 @@
   table[Json::json_pointer(parent)].erase(key);
   return findings_of(table.dump());
 }
-std::string first_stored() { return change_traffic_table("", "replace", 0, good_table().dump()).stored; }
-Json document_of(const std::string& stored) { return Json::parse(traffic_document(stored)); }
+std::string first_stored() { return change_routing_table("", "replace", 0, good_table().dump()).stored; }
+Json document_of(const std::string& stored) { return Json::parse(routing_table_document(stored)); }
 
 }  // namespace
 
-TEST(TrafficTable, ReadsEveryFieldAndDefaults) {
+TEST(RoutingTable, ReadsEveryFieldAndDefaults) {
   std::vector<Finding> findings;
-  auto table = read_traffic_table(
+  auto table = read_routing_table(
       R"({"revision":7,"routes":[{"name":"r1","host":"a.example","path_prefix":"/x/","kind":"streaming",
     "horizon_ms":8000,"target_ms":900,"rank":1,"pools":[{"pool":"m","share":90},{"pool":"n","share":10}],)"
       R"("max_sends":2,"sticky":true,
@@ -78,17 +78,17 @@
   EXPECT_EQ(bare.pools.size(), 1u);
   EXPECT_TRUE(table->routes[2].is_repeatable);
   EXPECT_EQ(table->pools[0].warmup_s, 3.5);
-  EXPECT_EQ(table->pools[0].cold_per_s, 45);
-  EXPECT_EQ(std::tie(table->pools[0].max_links, table->pools[0].slots, table->pools[0].memory_tokens),
+  EXPECT_EQ(table->pools[0].warmup_requests_per_s, 45);
+  EXPECT_EQ(std::tie(table->pools[0].max_connections, table->pools[0].slots, table->pools[0].memory_tokens),
             std::tuple(390, 64, 319818));
   EXPECT_EQ(table->pools[0].health_path, "/h");
   EXPECT_EQ(table->pools[1].health_path, "/health");
   EXPECT_EQ(table->limits.idle_timeout_ms, 4);
   EXPECT_FALSE(
-      read_traffic_table(good_table().dump(), findings)->routes[0].is_repeatable);  // a stream that can't be resumed
+      read_routing_table(good_table().dump(), findings)->routes[0].is_repeatable);  // a stream that can't be resumed
 }
 
-TEST(TrafficTable, EachInvalidityHasItsPlace) {
+TEST(RoutingTable, EachInvalidityHasItsPlace) {
   EXPECT_TRUE(findings_of(good_table().dump()).empty());
   EXPECT_TRUE(has(without("", "revision"), "/revision"));
   for (const Json& wrong : {Json(0), Json(-3), Json(1.5), Json("7"), Json(nullptr), Json(18446744073709551615u)})
@@ -130,7 +130,7 @@
   EXPECT_TRUE(has(findings_of(same_host.dump()), "/routes/1/path_prefix"));
 }
 
-TEST(TrafficTable, OnlyLimitsMayBeMissing) {
+TEST(RoutingTable, OnlyLimitsMayBeMissing) {
   EXPECT_TRUE(has(without("", "routes"), "/routes"));
   EXPECT_TRUE(has(without("", "pools"), "/pools"));
   EXPECT_TRUE(findings_of(R"({"revision":7,"routes":[],"pools":[]})").empty());
@@ -138,21 +138,21 @@
   for (const char* list : {"routes", "pools"}) {
     Json table = good_table();
     table.erase(list);
-    auto replaced = change_traffic_table("", "replace", 0, table.dump());
+    auto replaced = change_routing_table("", "replace", 0, table.dump());
     EXPECT_EQ(replaced.code, 400);
     EXPECT_TRUE(has(replaced.findings, std::string("/") + list) && replaced.stored.empty());
   }
   // An amendment names what it changes; on nothing it makes a whole document.
   for (const char* amendment : {R"({"revision":9})", R"({"revision":9,"upsert":{"limits":{}}})"}) {
-    EXPECT_EQ(change_traffic_table(first_stored(), "amend", 7, amendment).code, 200) << amendment;
-    auto first = change_traffic_table("", "amend", 0, amendment);
+    EXPECT_EQ(change_routing_table(first_stored(), "amend", 7, amendment).code, 200) << amendment;
+    auto first = change_routing_table("", "amend", 0, amendment);
     ASSERT_EQ(first.code, 200) << amendment;
     EXPECT_EQ(document_of(first.stored).value("routes", Json()), Json::array());
-    EXPECT_TRUE(findings_of(traffic_document(first.stored)).empty());
+    EXPECT_TRUE(findings_of(routing_table_document(first.stored)).empty());
   }
 }
 
-TEST(TrafficTable, SharesAreChecked) {
+TEST(RoutingTable, SharesAreChecked) {
   auto shares = [](const Json& list) {
     Json table = good_table();
     table["routes"][0].erase("pool");
@@ -169,7 +169,7 @@
   EXPECT_TRUE(has(shares(Json::parse(R"([5])")), "/routes/0/pools/0"));
 }
 
-TEST(TrafficTable, WhatIsNoSoundJsonIsRefusedWithAFinding) {
+TEST(RoutingTable, WhatIsNoSoundJsonIsRefusedWithAFinding) {
   const std::string deep =
       R"({"revision":7,"routes":[],"pools":[],"x":)";  // both lists: a document without them is an error now
   for (const std::string& body :
@@ -180,11 +180,11 @@
         std::string("{\"revision\":7,\"revision\":8}")}) {
     EXPECT_TRUE(has_errors(findings_of(body))) << body.substr(0, 40);
     for (const char* act : {"replace", "amend"}) {
-      auto change = change_traffic_table("", act, 0, body);
+      auto change = change_routing_table("", act, 0, body);
       EXPECT_EQ(change.code, 400) << body.substr(0, 40);
       EXPECT_FALSE(change.findings.empty() || change.reason.empty() || !change.stored.empty());
     }
-    EXPECT_FALSE(read_traffic_route(body) || read_traffic_pool(body) || !split_traffic_table(body).empty());
+    EXPECT_FALSE(read_route_document(body) || read_route_pool(body) || !split_routing_table(body).empty());
   }
   EXPECT_TRUE(findings_of(deep + std::string(31, '[') + std::string(31, ']') + "}").empty());
   auto twice =
@@ -192,10 +192,10 @@
   ASSERT_EQ(twice.size(), 1u);
   EXPECT_EQ(twice[0].place, "/pools/0/name");
   EXPECT_EQ(twice[0].line, 4);
-  EXPECT_EQ(change_traffic_table("", "other", 0, good_table().dump()).code, 400);
+  EXPECT_EQ(change_routing_table("", "other", 0, good_table().dump()).code, 400);
 }
 
-TEST(TrafficTable, AllFindingsComeTogetherWithLines) {
+TEST(RoutingTable, AllFindingsComeTogetherWithLines) {
   auto findings =
       findings_of("{\n \"revision\": 0,\n \"pools\": [\n  {\"name\": \"m\", \"max_links\": -1}],\n \"limits\": []}");
   ASSERT_EQ(findings.size(), 4u);  // stricter: the missing list of routes is an error as well, at the whole document
@@ -204,77 +204,77 @@
   EXPECT_EQ(findings[2].place, "/routes");
   EXPECT_EQ(std::pair(findings[2].line, findings[2].column), std::pair(1, 1));
   EXPECT_EQ(std::pair(findings[3].line, findings[3].column), std::pair(5, 12));
-  EXPECT_EQ(findings[0].document, "traffic-table/current");
+  EXPECT_EQ(findings[0].document, "routing-table/current");
 }
 
-TEST(TrafficTable, OfTwoChangesOnOneBaseOneIsTaken) {
-  auto first = change_traffic_table("", "replace", 0, good_table(7).dump());
+TEST(RoutingTable, OfTwoChangesOnOneBaseOneIsTaken) {
+  auto first = change_routing_table("", "replace", 0, good_table(7).dump());
   ASSERT_EQ(first.code, 200) << first.reason;
   EXPECT_EQ(first.revision, 7);
-  auto one = change_traffic_table(first.stored, "replace", 7, good_table(9).dump());
+  auto one = change_routing_table(first.stored, "replace", 7, good_table(9).dump());
   ASSERT_EQ(one.code, 200);
-  auto other = change_traffic_table(one.stored, "replace", 7, good_table(12).dump());
+  auto other = change_routing_table(one.stored, "replace", 7, good_table(12).dump());
   EXPECT_EQ(other.code, 412);
   EXPECT_EQ(other.revision, 9);
   EXPECT_TRUE(other.stored.empty());
-  EXPECT_EQ(change_traffic_table("", "replace", 3, good_table().dump()).code, 412);
-  EXPECT_EQ(change_traffic_table(one.stored, "replace", 7, R"({"revision":-1})").code,
+  EXPECT_EQ(change_routing_table("", "replace", 3, good_table().dump()).code, 412);
+  EXPECT_EQ(change_routing_table(one.stored, "replace", 7, R"({"revision":-1})").code,
             412);  // the base is looked at first
-  for (Integer revision : {8, 9}) {
-    auto low = change_traffic_table(one.stored, "replace", 9, good_table(revision).dump());
+  for (std::int64_t revision : {8, 9}) {
+    auto low = change_routing_table(one.stored, "replace", 9, good_table(revision).dump());
     EXPECT_EQ(low.code, 400);
     EXPECT_TRUE(has(low.findings, "/revision"));
     EXPECT_EQ(low.revision, 9);
   }
 }
 
-TEST(TrafficTable, AChangeSentAgainHasNoEffectAlsoAfterOthers) {
+TEST(RoutingTable, AChangeSentAgainHasNoEffectAlsoAfterOthers) {
   auto stored = first_stored();
-  auto amend = change_traffic_table(stored, "amend", 7, R"({"revision":9,"remove":{"routes":["r2"]}})");
+  auto amend = change_routing_table(stored, "amend", 7, R"({"revision":9,"remove":{"routes":["r2"]}})");
   ASSERT_EQ(amend.code, 200);
-  stored = change_traffic_table(amend.stored, "replace", 9, good_table(20).dump()).stored;
-  auto again = change_traffic_table(stored, "amend", 7, "{ \"remove\" : {\"routes\":[ \"r2\" ]},\n \"revision\":9}");
+  stored = change_routing_table(amend.stored, "replace", 9, good_table(20).dump()).stored;
+  auto again = change_routing_table(stored, "amend", 7, "{ \"remove\" : {\"routes\":[ \"r2\" ]},\n \"revision\":9}");
   EXPECT_EQ(again.code, 200);
   EXPECT_TRUE(again.is_repeat && again.stored.empty());
   EXPECT_EQ(again.revision, 20);
-  EXPECT_TRUE(change_traffic_table(stored, "replace", 0, good_table(7).dump()).is_repeat);
-  EXPECT_EQ(change_traffic_table(stored, "replace", 7, R"({"revision":9,"remove":{"routes":["r2"]}})").code,
+  EXPECT_TRUE(change_routing_table(stored, "replace", 0, good_table(7).dump()).is_repeat);
+  EXPECT_EQ(change_routing_table(stored, "replace", 7, R"({"revision":9,"remove":{"routes":["r2"]}})").code,
             412);  // another act
-  EXPECT_EQ(change_traffic_table(stored, "amend", 9, R"({"revision":9,"remove":{"routes":["r2"]}})").code,
+  EXPECT_EQ(change_routing_table(stored, "amend", 9, R"({"revision":9,"remove":{"routes":["r2"]}})").code,
             412);  // another base
 }
 
 // Stricter than before: what fell out of the 128 was refused though it had been taken; now it is never refused.
-TEST(TrafficTable, TheLast128ChangesAreAcknowledgedAndNoneBeforeThemIsRefused) {
+TEST(RoutingTable, TheLast128ChangesAreAcknowledgedAndNoneBeforeThemIsRefused) {
   std::string stored;
-  Integer last = 0;
-  for (Integer revision = 1; revision <= 130; last = revision++) {
-    auto change = change_traffic_table(stored, "replace", last, good_table(revision).dump());
+  std::int64_t last = 0;
+  for (std::int64_t revision = 1; revision <= 130; last = revision++) {
+    auto change = change_routing_table(stored, "replace", last, good_table(revision).dump());
     ASSERT_EQ(change.code, 200);
     stored = change.stored;
   }
   Json taken = Json::parse(stored)["taken"];
   ASSERT_EQ(taken.size(), 128u);
   EXPECT_EQ(taken[0]["revision"], 3);
-  EXPECT_TRUE(change_traffic_table(stored, "replace", 2, good_table(3).dump()).is_repeat);
-  auto forgotten = change_traffic_table(stored, "replace", 1, good_table(2).dump());
+  EXPECT_TRUE(change_routing_table(stored, "replace", 2, good_table(3).dump()).is_repeat);
+  auto forgotten = change_routing_table(stored, "replace", 1, good_table(2).dump());
   EXPECT_EQ(forgotten.code, 504);
   EXPECT_TRUE(forgotten.stored.empty() && !forgotten.is_repeat);
-  EXPECT_EQ(change_traffic_table(stored, "replace", 1, good_table(3).dump()).code, 412);  // never taken
+  EXPECT_EQ(change_routing_table(stored, "replace", 1, good_table(3).dump()).code, 412);  // never taken
 }
 
-TEST(TrafficTable, AmendAddsReplacesAndRemovesByName) {
+TEST(RoutingTable, AmendAddsReplacesAndRemovesByName) {
   Json change{{"revision", 9}};
   change["upsert"]["routes"] = Json::array({route("r3", "/z/", "new"), route("r2", "/w/", "m")});
   change["upsert"]["pools"] = Json::array({Json{{"name", "new"}}});
   change["upsert"]["limits"] = Json{{"idle_timeout_ms", 5}};
   change["remove"]["routes"] = Json::array({"r1"});
   change["remove"]["pools"] = Json::array({"n"});
-  auto result = change_traffic_table(first_stored(), "amend", 7, change.dump());
+  auto result = change_routing_table(first_stored(), "amend", 7, change.dump());
   ASSERT_EQ(result.code, 200) << result.reason;
   EXPECT_EQ(result.revision, 9);
   std::vector<Finding> findings;
-  auto table = read_traffic_table(traffic_document(result.stored), findings);
+  auto table = read_routing_table(routing_table_document(result.stored), findings);
   ASSERT_TRUE(table);
   ASSERT_EQ(table->routes.size(), 2u);
   EXPECT_EQ(table->routes[0].name + table->routes[0].path_prefix, "r2/w/");
@@ -282,12 +282,12 @@
   ASSERT_EQ(table->pools.size(), 2u);
   EXPECT_EQ(table->pools[1].name.text, "new");
   EXPECT_EQ(table->limits.idle_timeout_ms, 5);
-  EXPECT_EQ(change_traffic_table("", "amend", 0, R"({"revision":2,"upsert":{"pools":[{"name":"m"}]}})").code, 200);
+  EXPECT_EQ(change_routing_table("", "amend", 0, R"({"revision":2,"upsert":{"pools":[{"name":"m"}]}})").code, 200);
 }
 
-TEST(TrafficTable, AmendRefusesWithPlacesInTheAmendment) {
+TEST(RoutingTable, AmendRefusesWithPlacesInTheAmendment) {
   auto places = [](const char* body, const std::string& place) {
-    auto result = change_traffic_table(first_stored(), "amend", 7, body);
+    auto result = change_routing_table(first_stored(), "amend", 7, body);
     EXPECT_EQ(result.code, 400) << body;
     EXPECT_TRUE(has(result.findings, place)) << body << findings_json(result.findings);
     EXPECT_TRUE(result.stored.empty());
@@ -314,56 +314,56 @@
   EXPECT_EQ(traced.findings[0].line, 3);
 }
 
-TEST(TrafficTable, UnknownFieldsAreKept) {
+TEST(RoutingTable, UnknownFieldsAreKept) {
   Json table = good_table();
   const Json odd = Json::parse(
       R"({"deep":[1,2.5,null,{"é":"\u0000\"/~"}],"big":18446744073709551615,"small":-9223372036854775808})");
   table["odd"] = table["routes"][0]["odd"] = table["pools"][0]["odd"] = odd;
-  auto first = change_traffic_table("", "replace", 0, table.dump());
+  auto first = change_routing_table("", "replace", 0, table.dump());
   ASSERT_EQ(first.code, 200) << first.reason;
   EXPECT_EQ(document_of(first.stored), table);
   Json fresh = route("r2", "/new/");
   fresh["odd"] = odd;
   Json change{{"revision", 8}};
   change["upsert"]["routes"] = Json::array({fresh});
-  auto second = change_traffic_table(first.stored, "amend", 7, change.dump());
+  auto second = change_routing_table(first.stored, "amend", 7, change.dump());
   table["revision"] = 8;
   table["routes"][1] = fresh;
   EXPECT_EQ(document_of(second.stored).dump(), table.dump());
 }
 
-TEST(TrafficTable, StoredTextThatCanNotBeReadCountsAsNone) {
+TEST(RoutingTable, StoredTextThatCanNotBeReadCountsAsNone) {
   for (const char* stored :
        {"", "oops", "[]", "{}", R"({"document":5})", R"({"document":{"revision":"x"},"taken":5})"}) {
-    EXPECT_EQ(traffic_document(stored), "");
-    EXPECT_EQ(change_traffic_table(stored, "replace", 0, good_table().dump()).code, 200);
+    EXPECT_EQ(routing_table_document(stored), "");
+    EXPECT_EQ(change_routing_table(stored, "replace", 0, good_table().dump()).code, 200);
   }
 }
 
-TEST(TrafficTable, RowsComeSortedAndReadAlone) {
-  auto rows = split_traffic_table(good_table().dump());
+TEST(RoutingTable, RowsComeSortedAndReadAlone) {
+  auto rows = split_routing_table(good_table().dump());
   std::vector<std::string> keys;
   for (const auto& row : rows)
     keys.push_back(row.first);
   EXPECT_EQ(keys, (std::vector<std::string>{"limits", "pool/m", "pool/n", "revision", "route/r1", "route/r2"}));
-  EXPECT_EQ(read_traffic_pool(rows[1].second)->name.text, "m");
+  EXPECT_EQ(read_route_pool(rows[1].second)->name.text, "m");
   EXPECT_EQ(rows[3].second, "7");
-  EXPECT_EQ(read_traffic_route(rows[5].second)->path_prefix, "/x/y/");
-  EXPECT_FALSE(read_traffic_route("{}"));
-  auto limits = read_traffic_limits(R"({"max_header_bytes":5,"max_body_bytes":"x"})");
+  EXPECT_EQ(read_route_document(rows[5].second)->path_prefix, "/x/y/");
+  EXPECT_FALSE(read_route_document("{}"));
+  auto limits = read_request_limits(R"({"max_header_bytes":5,"max_body_bytes":"x"})");
   EXPECT_EQ(limits.max_header_bytes, 5);
   EXPECT_EQ(limits.max_body_bytes, 4 << 20);
-  EXPECT_EQ(read_traffic_limits("oops").idle_timeout_ms, 15000);
+  EXPECT_EQ(read_request_limits("oops").idle_timeout_ms, 15000);
 }
 
-TEST(TrafficTable, TheLongestPrefixOfTheHostIsFound) {
+TEST(RoutingTable, TheLongestPrefixOfTheHostIsFound) {
   std::vector<Finding> findings;
   auto table = good_table();
   table["routes"].push_back(route("other", "/x/y/z/"));
   table["routes"][2]["host"] = "B.example:8080";
-  auto routes = read_traffic_table(table.dump(), findings)->routes;
+  auto routes = read_routing_table(table.dump(), findings)->routes;
   auto found = [&](const std::string& host, const std::string& path) {
-    const TrafficRoute* each = find_route(routes, host, path);
+    const Route* each = find_route(routes, host, path);
     return each == nullptr ? std::string() : each->name;
   };
   EXPECT_EQ(found("a.example", "/x/"), "r1");
@@ -380,22 +380,22 @@
   EXPECT_EQ(found("[::1]", "/x/"), "r1");
 }
 
-TEST(TrafficTable, SharesArePickedInProportionAndAlike) {
-  TrafficRoute split;
+TEST(RoutingTable, SharesArePickedInProportionAndAlike) {
+  Route split;
   split.pools = {{PoolName{"none"}, 0}, {PoolName{"m"}, 90}, {PoolName{"n"}, 10}};
   std::map<std::string, int> counts;
   for (int i = 0; i < 20000; ++i) {
     std::string key = "call-" + std::to_string(i);
     ++counts[choose_pool(split, key).text];
-    ASSERT_EQ(choose_pool(split, key), choose_pool(TrafficRoute(split), key));
+    ASSERT_EQ(choose_pool(split, key), choose_pool(Route(split), key));
   }
   EXPECT_EQ(counts["none"], 0);
   EXPECT_NEAR(counts["n"], 2000, 200);
   EXPECT_EQ(counts["m"] + counts["n"], 20000);
-  EXPECT_EQ(choose_pool(TrafficRoute{}, "k").text, "");
+  EXPECT_EQ(choose_pool(Route{}, "k").text, "");
 }
 
-TEST(TrafficTable, TenThousandRoutesReadWellWithinASecond) {
+TEST(RoutingTable, TenThousandRoutesReadWellWithinASecond) {
   Json table = good_table();
   for (int i = 0; i < 10000; ++i)
     table["routes"].push_back(route("more" + std::to_string(i), "/more/" + std::to_string(i) + "/"));
@@ -419,7 +419,7 @@
 #endif
 }
 
-TEST(TrafficTable, NoDocumentFromOutsideBringsItDownAndEachRefusalHasAFinding) {
+TEST(RoutingTable, NoDocumentFromOutsideBringsItDownAndEachRefusalHasAFinding) {
   Json table = good_table();
   table["routes"][0].erase("pool");
   table["routes"][0]["pools"] = Json::parse(R"([{"pool":"m","share":3},{"pool":"n","share":1}])");
@@ -431,33 +431,33 @@
   EXPECT_TRUE(rc::check([&](std::uint64_t seed) {
     std::string body = spoiled(whole, seed), change = spoiled(amendment, seed);
     std::vector<Finding> findings;
-    auto read = read_traffic_table(body, findings);
+    auto read = read_routing_table(body, findings);
     RC_ASSERT(read.has_value() != has_errors(findings));
-    split_traffic_table(body);
-    read_traffic_limits(body);
-    read_traffic_route(spoiled(table["routes"][0].dump(), seed));
-    read_traffic_pool(spoiled(R"({"name":"m","runtime":{"slots":5}})", seed));
+    split_routing_table(body);
+    read_request_limits(body);
+    read_route_document(spoiled(table["routes"][0].dump(), seed));
+    read_route_pool(spoiled(R"({"name":"m","runtime":{"slots":5}})", seed));
     for (const auto& result :
-         {change_traffic_table("", "replace", 0, body), change_traffic_table(stored, "amend", 7, change),
-          change_traffic_table(spoiled(stored, seed), "amend", 7, change)}) {
+         {change_routing_table("", "replace", 0, body), change_routing_table(stored, "amend", 7, change),
+          change_routing_table(spoiled(stored, seed), "amend", 7, change)}) {
       RC_ASSERT(result.code == 200 || !result.reason.empty());
       RC_ASSERT(result.code != 400 || has_errors(result.findings));
       if (result.code != 200 || result.is_repeat)
         continue;
       findings.clear();
-      RC_ASSERT(read_traffic_table(traffic_document(result.stored), findings).has_value());
+      RC_ASSERT(read_routing_table(routing_table_document(result.stored), findings).has_value());
     }
   }));
 }
 
-TEST(TrafficTable, AmendingThenReadingEqualsAModel) {
+TEST(RoutingTable, AmendingThenReadingEqualsAModel) {
   EXPECT_TRUE(rc::check([](std::uint64_t seed) {
     RandomGenerator random(seed);
     std::map<std::string, std::int64_t> model;  // route: its deadline
     std::string stored;
-    Integer revision = 0;
+    std::int64_t revision = 0;
     for (int step = 0; step < 12; ++step) {
-      Integer next = revision + 1 + random.below(5);
+      std::int64_t next = revision + 1 + random.below(5);
       Json change{{"revision", next}};
       if (step == 0)
         change["upsert"]["pools"] = Json::array({Json{{"name", "m"}}});
@@ -476,7 +476,7 @@
           is_good = wanted.erase(name) == 1 && is_good;
         }
       }
-      auto result = change_traffic_table(stored, "amend", revision, change.dump());
+      auto result = change_routing_table(stored, "amend", revision, change.dump());
       RC_ASSERT(result.code == (is_good ? 200 : 400));
       if (!is_good && step == 0)
         return;  // no pool yet
@@ -486,7 +486,7 @@
       revision = next;
       stored = result.stored;
       std::vector<Finding> findings;
-      auto table = read_traffic_table(traffic_document(stored), findings);
+      auto table = read_routing_table(routing_table_document(stored), findings);
       RC_ASSERT(table.has_value());
       RC_ASSERT(table->revision == revision);
       std::map<std::string, std::int64_t> seen;
--- a/packages/serving-plans/include/emberdale/serving_plans.hpp
+++ b/packages/serving-plans/include/emberdale/serving_plans.hpp
@@ -46,7 +46,7 @@
 
 struct ZoneOrder {
   ZoneName zone;
-  bool is_emptied = false;      // by its state, or by a window that the master has opened
+  bool is_evacuated = false;    // by its state, or by a window that the master has opened
   bool is_window_open = false;  // what the master wrote last
   std::vector<MaintenanceWindow> windows;
   // Example: order.wants_window(1764633600)
@@ -112,14 +112,14 @@
 // One declared change worked out on a state: the resources after it, or why not.
 struct EditResult {
   int code = 200;  // 200, 201, 400, 404, 412, 422
-  Integer version = 0;
+  std::int64_t version = 0;
   std::vector<Resource> resources;
-  Integer deleted_version = 0;  // the highest version any deleted resource had: new ones start above it
+  std::int64_t deleted_version = 0;  // the highest version any deleted resource had: new ones start above it
   std::vector<Finding> findings;
   std::string reason;
 };
 // Example: apply_edit(state, edit, state.config_revision + 1).code == 412 for a stale version
-EditResult apply_edit(const FleetState& state, const EditAsk& edit, Integer revision);
+EditResult apply_edit(const FleetState& state, const EditRequest& edit, std::int64_t revision);
 
 // Which plan claims a call. Example: match_plan(plans, "POST", "/v1/chats", headers)
 struct PlanMatch {
--- a/packages/serving-plans/src/configuration_edit.cpp
+++ b/packages/serving-plans/src/configuration_edit.cpp
@@ -23,9 +23,9 @@
 }
 
 // Deletes, changes or adds the resource of the edit, `found` being where it stands or the end of the resources.
-void write_resource(EditResult& result, std::vector<Resource>::iterator found, const EditAsk& edit,
-                    const std::string& body, Integer revision) {
-  if (edit.act == "delete") {
+void write_resource(EditResult& result, std::vector<Resource>::iterator found, const EditRequest& edit,
+                    const std::string& body, std::int64_t revision) {
+  if (edit.action == "delete") {
     result.deleted_version = std::max(result.deleted_version, found->version);
     result.resources.erase(found);
   } else if (found != result.resources.end()) {
@@ -44,7 +44,7 @@
 bool is_of_no_json(const Finding& finding) { return finding.message.rfind("not JSON", 0) == 0; }
 
 // What is wrong with the document by itself, if it is no JSON; empty otherwise.
-std::vector<Finding> findings_if_no_json(const EditAsk& edit, const std::string& body) {
+std::vector<Finding> findings_if_no_json(const EditRequest& edit, const std::string& body) {
   std::vector<Finding> findings;
   if (edit.kind == plans_kind)
     read_plan(edit.name, body, findings);
@@ -79,7 +79,7 @@
 }
 
 // What a rule between documents finds in the one at hand gets its place in the text as well.
-void add_places(std::vector<Finding>& findings, const EditAsk& edit, const std::string& body) {
+void add_places(std::vector<Finding>& findings, const EditRequest& edit, const std::string& body) {
   for (auto& finding : findings)
     if (finding.line == 0 && finding.document == edit.kind + "/" + edit.name)
       std::tie(finding.line, finding.column) = place_in_text(body, finding.place);
@@ -99,24 +99,24 @@
   }
 }
 
-EditResult apply_edit(const FleetState& state, const EditAsk& edit, Integer revision) {
+EditResult apply_edit(const FleetState& state, const EditRequest& edit, std::int64_t revision) {
   EditResult result;
   result.resources = state.resources;
   result.deleted_version = state.deleted_version;
   auto found = std::find_if(result.resources.begin(), result.resources.end(),
                             [&](const Resource& r) { return r.kind == edit.kind && r.name == edit.name; });
   bool is_there = found != result.resources.end();
-  const Integer old_version = is_there ? found->version : 0;
+  const std::int64_t old_version = is_there ? found->version : 0;
   result.version = old_version;
   if (!is_known_kind(edit.kind))
     return refuse(std::move(result), 404, "there is no resource kind '" + edit.kind + "'");
-  if (edit.expected >= 0 && edit.expected != old_version)
+  if (edit.expected_version >= 0 && edit.expected_version != old_version)
     return refuse(std::move(result), 412,
-                  "the version is " + std::to_string(old_version) + ", not " + std::to_string(edit.expected));
-  if (edit.act != "put" && !is_there)
+                  "the version is " + std::to_string(old_version) + ", not " + std::to_string(edit.expected_version));
+  if (edit.action != "put" && !is_there)
     return refuse(std::move(result), 404, edit.kind + "/" + edit.name + " does not exist");
   std::string body = edit.body;
-  if (edit.act == "patch") {
+  if (edit.action == "patch") {
     auto merged = merge_patch(found->body, edit.body);
     if (!merged) {
       result.findings.push_back({"error", edit.kind + "/" + edit.name, "", 1, 1, merged.reason});
@@ -126,7 +126,7 @@
   }
   write_resource(result, found, edit, body, revision);
   // First the document itself, so that a body that is no JSON is 400 and not 422.
-  if (edit.act != "delete") {
+  if (edit.action != "delete") {
     auto own = findings_if_no_json(edit, body);
     if (!own.empty()) {
       result.version = old_version;
--- a/packages/serving-plans/src/document_rules.cpp
+++ b/packages/serving-plans/src/document_rules.cpp
@@ -95,17 +95,17 @@
       add("warning", document_name(orders_kind, order.zone.text), "", "no runner is in zone '" + order.zone.text + "'");
   }
 
-  std::set<ZoneName> emptied_zones() const {
+  std::set<ZoneName> evacuated_zones() const {
     std::set<ZoneName> zones;
     for (const auto& order : configuration_.orders)
-      if (order.is_emptied)
+      if (order.is_evacuated)
         zones.insert(order.zone);
     return zones;
   }
 
   // Emptying must leave every plan a runner where its work may live.
   void check_what_is_left() {
-    std::set<ZoneName> emptied = emptied_zones();
+    std::set<ZoneName> emptied = evacuated_zones();
     if (emptied.empty())
       return;
     std::map<std::pair<PoolName, RegionName>, RunnerCount> counts;
--- a/packages/serving-plans/src/documents.cpp
+++ b/packages/serving-plans/src/documents.cpp
@@ -168,7 +168,7 @@
   if (!state.empty() && state != "emptied" && state != "serving")
     reader.error("/state", "must be 'emptied' or 'serving'");
   order.is_window_open = reader.answer("/window_open", false);
-  order.is_emptied = state == "emptied" || order.is_window_open;
+  order.is_evacuated = state == "emptied" || order.is_window_open;
   reader.text("/note", false);
   read_windows(reader, order);
   reader.refuse_unknown();
--- a/packages/serving-plans/tests/serving_plans_test.cpp
+++ b/packages/serving-plans/tests/serving_plans_test.cpp
@@ -20,9 +20,9 @@
   state.resources = resources;
   return state;
 }
-EditAsk edit(const std::string& act, const std::string& kind, const std::string& name, const std::string& body,
-             Integer expected = -1) {
-  return EditAsk{1, "change", act, kind, name, expected, body};
+EditRequest edit(const std::string& act, const std::string& kind, const std::string& name, const std::string& body,
+                 std::int64_t expected = -1) {
+  return EditRequest{1, "change", act, kind, name, expected, body};
 }
 bool has(const std::vector<Finding>& findings, const std::string& place) {
   return std::any_of(findings.begin(), findings.end(), [&](const Finding& f) { return f.place == place; });
@@ -137,14 +137,14 @@
 
 TEST(ServingPlans, ANameThatComesBackNeverHasAVersionItHadBefore) {
   FleetState state;
-  auto apply = [&](const std::string& act, const std::string& body, Integer expected) {
-    EditAsk ask;
-    ask.act = act;
-    ask.kind = orders_kind;
-    ask.name = "a";
-    ask.body = body;
-    ask.expected = expected;
-    EditResult result = apply_edit(state, ask, ++state.config_revision);
+  auto apply = [&](const std::string& act, const std::string& body, std::int64_t expected) {
+    EditRequest request;
+    request.action = act;
+    request.kind = orders_kind;
+    request.name = "a";
+    request.body = body;
+    request.expected_version = expected;
+    EditResult result = apply_edit(state, request, ++state.config_revision);
     if (result.code < 300) {
       state.resources = result.resources;
       state.deleted_version = result.deleted_version;
@@ -178,13 +178,13 @@
     auto merged = merge_patch(plan, spoiled(plan, seed));
     RC_ASSERT(merged || !merged.reason.empty());
     FleetState state;
-    EditAsk ask;
-    ask.act = "put";
-    ask.kind = plans_kind;
-    ask.name = spoiled("a-name", seed);
-    ask.expected = -1;
-    ask.body = spoiled(plan, seed);
-    (void)apply_edit(state, ask, 1);
+    EditRequest request;
+    request.action = "put";
+    request.kind = plans_kind;
+    request.name = spoiled("a-name", seed);
+    request.expected_version = -1;
+    request.body = spoiled(plan, seed);
+    (void)apply_edit(state, request, 1);
     (void)findings_json(findings);
   }));
 }
--- a/packages/small-types/include/emberdale/bounded_queue.hpp
+++ b/packages/small-types/include/emberdale/bounded_queue.hpp
@@ -35,8 +35,8 @@
   }
 
   // Waits for an item until the time is up. Example: auto item = pending.take_within(20ms);
-  template <class Duration>
-  std::optional<T> take_within(Duration wait) {
+  template <class WaitTime>
+  std::optional<T> take_within(WaitTime wait) {
     std::unique_lock<std::mutex> guard(mutex_);
     ready_.wait_for(guard, wait, [&] { return closed_ || !items_.empty(); });
     if (items_.empty())
--- a/packages/small-types/include/emberdale/event_journal.hpp
+++ b/packages/small-types/include/emberdale/event_journal.hpp
@@ -13,7 +13,7 @@
 
 struct JournalEvent {
   std::int64_t number = 0;
-  Moment at;
+  TimePoint at;
   std::string kind;    // e.g. "mastership", "map", "refused"
   std::string detail;  // one line, only for changes of state
 };
@@ -24,8 +24,8 @@
  public:
   explicit EventJournal(std::size_t bound) : bound_(bound) {}
 
-  // Example: journal.append(Moment{5}, "master", "10.0.0.1:70");
-  void append(Moment at, std::string kind, std::string detail) {
+  // Example: journal.append(TimePoint{5}, "master", "10.0.0.1:70");
+  void append(TimePoint at, std::string kind, std::string detail) {
     counts_[kind] += 1;  // the counting view is folded as events arrive
     events_.push_back({++last_, at, std::move(kind), std::move(detail)});
     if (events_.size() > bound_)
--- a/packages/small-types/include/emberdale/small_types.hpp
+++ b/packages/small-types/include/emberdale/small_types.hpp
@@ -11,7 +11,7 @@
 namespace emberdale {
 
 // A whole number that can't be mixed up with another kind of number.
-// Example: Moment now{1200}; now.value == 1200;
+// Example: TimePoint now{1200}; now.value == 1200;
 template <class Tag>
 struct SmallInteger {
   std::int64_t value = 0;
@@ -27,15 +27,15 @@
   }
 };
 
-struct MomentTag;
-struct SpanTag;
-using Moment = SmallInteger<MomentTag>;  // milliseconds on a steady clock
-using Span = SmallInteger<SpanTag>;      // milliseconds between two moments
+struct TimePointTag;
+struct DurationTag;
+using TimePoint = SmallInteger<TimePointTag>;  // milliseconds on a steady clock
+using Duration = SmallInteger<DurationTag>;    // milliseconds between two moments
 
-// Example: Moment{100} + Span{50} == Moment{150}
-inline Moment operator+(Moment moment, Span span) { return {moment.value + span.value}; }
-// Example: Moment{150} - Moment{100} == Span{50}
-inline Span operator-(Moment later, Moment earlier) { return {later.value - earlier.value}; }
+// Example: TimePoint{100} + Duration{50} == TimePoint{150}
+inline TimePoint operator+(TimePoint moment, Duration span) { return {moment.value + span.value}; }
+// Example: TimePoint{150} - TimePoint{100} == Duration{50}
+inline Duration operator-(TimePoint later, TimePoint earlier) { return {later.value - earlier.value}; }
 
 // A name or id that can't be mixed up with another kind of name.
 // Example: ZoneName zone{"a"}; zone.text == "a";
@@ -106,8 +106,8 @@
 
 // Where a process begins to number its asks: elsewhere in each life, so that an answer to a former life's
 // ask, held up on its way, is never taken for an answer to this one's.
-// Example: std::int64_t last_ask = first_ask(random generator);
-inline std::int64_t first_ask(RandomGenerator& random) { return random.below(std::int64_t{1} << 46); }
+// Example: std::int64_t last_request_id = first_request_id(random generator);
+inline std::int64_t first_request_id(RandomGenerator& random) { return random.below(std::int64_t{1} << 46); }
 
 // A hash that is the same in every process, for rendezvous ranking (FNV-1a, then mixed).
 // Example: stable_hash("a") == stable_hash("a") in any two daemons.
--- a/packages/small-types/tests/small_types_test.cpp
+++ b/packages/small-types/tests/small_types_test.cpp
@@ -61,7 +61,7 @@
 TEST(SmallTypes, TheJournalIsBoundedAndItsCountsAreNot) {
   EventJournal journal(3);
   for (int i = 0; i < 10; ++i)
-    journal.append(Moment{i}, i % 2 == 0 ? "map" : "edit", std::to_string(i));
+    journal.append(TimePoint{i}, i % 2 == 0 ? "map" : "edit", std::to_string(i));
   EXPECT_EQ(journal.counts().at("map"), 5);
   auto held = journal.fold(std::vector<std::string>{}, [](auto list, const JournalEvent& event) {
     list.push_back(event.detail);
--- a/packages/stand-ins/src/runner_stand_in.cpp
+++ b/packages/stand-ins/src/runner_stand_in.cpp
@@ -87,7 +87,7 @@
   }
 
  private:
-  bool is_cold() const { return (steady_now() - started_).value < warm_ms_; }
+  bool is_warming_up() const { return (steady_now() - started_).value < warm_ms_; }
 
   void write_ledger(const std::string& act, const http_request& request) {
     std::lock_guard<std::mutex> guard(mutex_);
@@ -101,7 +101,8 @@
               << std::chrono::duration_cast<std::chrono::milliseconds>(
                      std::chrono::system_clock::now().time_since_epoch())
                      .count()
-              << ' ' << running_ << ' ' << (is_cold() ? "cold" : "warm") << ' ' << header("X-Emberdale-Config") << '\n';
+              << ' ' << running_ << ' ' << (is_warming_up() ? "cold" : "warm") << ' ' << header("X-Emberdale-Config")
+              << '\n';
       ledger_.flush();  // a killed process keeps what it wrote
     }
   }
@@ -111,7 +112,7 @@
     response.headers().add("X-Runner-Incarnation", std::to_string(incarnation_));
     response.headers().add("X-Runner-Burden", std::to_string(running_.load()));
     response.headers().add("X-Runner-Capacity", std::to_string(capacity_));
-    response.headers().add("X-Runner-Cold", is_cold() ? "true" : "false");
+    response.headers().add("X-Runner-Cold", is_warming_up() ? "true" : "false");
   }
 
   void reply(const http_request& request, const http_response& response) {
@@ -150,7 +151,7 @@
       http_response response(200);
       response.set_body(Json{{"name", name_},
                              {"incarnation", incarnation_},
-                             {"cold", is_cold()},
+                             {"cold", is_warming_up()},
                              {"capacity", capacity_},
                              {"allowance", allowance_},
                              {"burden", running_.load()}}
@@ -162,7 +163,7 @@
       std::lock_guard<std::mutex> guard(mutex_);
       http_response response(200);
       Json counts(counts_);
-      counts["cold_peak"] = cold_peak_;
+      counts["cold_peak"] = warmup_peak_;
       response.set_body(counts.dump(), "application/json");
       return reply(request, response);
     }
@@ -203,13 +204,13 @@
     if (fault == "crash_before")
       ::_exit(9);
     std::int64_t now_running = ++running_;
-    if (is_cold()) {
+    if (is_warming_up()) {
       std::lock_guard<std::mutex> guard(mutex_);
-      cold_peak_ = std::max(cold_peak_, now_running);
+      warmup_peak_ = std::max(warmup_peak_, now_running);
     }
-    if (now_running > (is_cold() ? allowance_ : capacity_)) {
+    if (now_running > (is_warming_up() ? allowance_ : capacity_)) {
       --running_;
-      write_ledger(is_cold() ? "refuse-cold" : "refuse-full", request);
+      write_ledger(is_warming_up() ? "refuse-cold" : "refuse-full", request);
       return refuse(request, "full");
     }
     write_ledger("run", request);
@@ -228,7 +229,7 @@
     if (request.method() == web::http::methods::POST && question.contains("pieces") && !is_record_service)
       return stream(request, call, question, told, fault);
     std::int64_t ms = is_record_service ? 10 : is_prefix_cached(question.value("opening", "")) ? hit_ms_ : miss_ms_;
-    if (is_cold())
+    if (is_warming_up())
       ms *= 2;
     if (fault == "slow")
       ms += 3000;
@@ -320,7 +321,7 @@
     stream->text += data + "\n";
     put(stream, event_text({"", std::to_string(stream->next), data}));
     ++stream->next;
-    later(piece_ms_ * (is_cold() ? 2 : 1), [this, stream] { step(stream); });
+    later(piece_ms_ * (is_warming_up() ? 2 : 1), [this, stream] { step(stream); });
   }
 
   bool is_prefix_cached(const std::string& opening) {
@@ -344,12 +345,12 @@
 
   std::string name_, key_;
   std::int64_t capacity_, allowance_, warm_ms_, miss_ms_, hit_ms_, piece_ms_, incarnation_;
-  Moment started_;
+  TimePoint started_;
   web::http::experimental::listener::http_listener listener_;
   boost::asio::io_context context_;
   std::atomic<std::int64_t> running_{0};
   std::mutex mutex_;
-  std::int64_t cold_peak_ = 0;
+  std::int64_t warmup_peak_ = 0;
   std::map<std::string, std::int64_t> counts_;
   std::ofstream ledger_;
   std::string fault_;
