--- a/packages/fleet-simulator/include/emberdale/fleet_simulation.hpp
+++ b/packages/fleet-simulator/include/emberdale/fleet_simulation.hpp
@@ -18,6 +18,7 @@
 #include "emberdale/segmented_log.hpp"
 #include "emberdale/simulated_network.hpp"
 #include "emberdale/simulated_runner.hpp"
+#include "emberdale/trace_digest.hpp"
 
 namespace emberdale {
 
@@ -27,6 +28,7 @@
   double calls_per_second = 40;
   std::int64_t near_delay = 1, far_delay = 12;
   std::int64_t disk_ms = 2;
+  bool is_traced = false;  // everything that happens goes into a digest: FleetSimulation::trace_digest
 };
 
 // The brief's two deployments as they are. Example: FleetSimulation fleet(7, caspian_shape());
@@ -142,6 +144,8 @@
     std::map<std::string, std::int64_t> messages_to;
   };
   Figures figures();
+  // Of all that happened since the start, in hex; empty unless the shape is traced. The totals so far are added to it.
+  std::string trace_digest();
   std::string why_silent();  // a line on each daemon, for a failed expectation
 
   // What every daemon's wall clock shows, in seconds; 0: none. Example: fleet.wall_seconds = 1796173200;
@@ -208,6 +212,12 @@
   void deliver(const std::string& from, const Address& to, Message message);
   void start_writing(Node& node);
   void check_node(Node& node);
+  // Adds an event to the digest, if the fleet is traced.
+  template <class... Fields>
+  void trace(TraceEvent event, const Fields&... fields) {
+    if (trace_)
+      trace_->record(event, now_, fields...);
+  }
   // Callers and calls.
   void ask_call();
   void flush_dispatcher(Node& node);
@@ -238,6 +248,7 @@
   std::map<CallIndex, CallRecord> calls_;
   CallTally tally_;
   Figures figures_;
+  std::unique_ptr<TraceDigest> trace_;  // none: the fleet is not traced
   std::int64_t last_change_ = 0, next_port_ = 1, disk_bites_ = 0;
 };
 
@@ -250,6 +261,7 @@
   std::string story;                          // what failed when, to read after a break
   std::map<std::string, std::int64_t> bites;  // how often each fault was seen to have an effect
   std::map<std::string, std::int64_t> tried;  // how often it was brought about
+  std::string trace_digest;                   // of a day whose shape is traced
 };
 FaultInjectionResult run_fault_injection(std::uint64_t seed, Duration length, bool is_grant_check_off = false);
 
--- a/packages/fleet-simulator/src/fleet_simulation.cpp
+++ b/packages/fleet-simulator/src/fleet_simulation.cpp
@@ -11,6 +11,8 @@
 
 FleetSimulation::FleetSimulation(std::uint64_t seed, SimulationShape shape)
     : seed_(seed), shape_(std::move(shape)), random_(seed) {
+  if (shape_.is_traced)
+    trace_ = std::make_unique<TraceDigest>();
   network_.near_delay = shape_.near_delay;
   network_.far_delay = shape_.far_delay;
   crowd_.rate = shape_.calls_per_second;
@@ -321,6 +323,8 @@
   std::vector<std::string> records;
   for (auto& write : batch)
     records.push_back(write.record);
+  for (const auto& record : records)
+    trace(TraceEvent::disk_write, target.name, record);
   std::int64_t last = batch.back().token;
   std::string name = target.name;
   std::int64_t incarnation = target.incarnation;
@@ -346,8 +350,11 @@
         awake.control->synced(last, clock(awake));
         flush(awake);
       });
-      if (!woken.is_frozen && woken.log->wants_snapshot())
-        woken.log->snapshot(woken.control->acceptor()->picture());
+      if (!woken.is_frozen && woken.log->wants_snapshot()) {
+        std::string picture = woken.control->acceptor()->picture();
+        trace(TraceEvent::disk_snapshot, name, picture);
+        woken.log->snapshot(picture);
+      }
     }
     woken.is_writing = false;
     start_writing(woken);
@@ -367,8 +374,10 @@
   at(now_ + *wait, [this, name, from, sender, shared] {
     if (!node(name).is_up && node(name).has_power)
       return refuse_connection(from, name);
-    on_node(name, [this, sender, shared](Node& awake) {
+    on_node(name, [this, from, sender, shared](Node& awake) {
       ++figures_.messages_to[awake.name];
+      if (trace_)
+        trace(TraceEvent::message_delivered, from, awake.name, encode_message(*shared));
       if (awake.control) {
         awake.control->on_message(sender, *shared, clock(awake));
       } else {
@@ -435,6 +444,8 @@
          status.capacity = probed.capacity;
          status.load = probed.running;
          status.allowance = probed.allowance;
+         trace(TraceEvent::probe_answered, awake.name, runner, status.is_reachable, status.is_warming_up, status.incarnation,
+               status.load);
          awake.control->on_probe(status, clock(awake));
          flush(awake);
        });
@@ -513,6 +524,20 @@
   return all;
 }
 
+std::string FleetSimulation::trace_digest() {
+  if (!trace_)
+    return "";
+  trace(TraceEvent::totals, tally_.asked, tally_.served, tally_.refused, tally_.refused_no_grant, tally_.unknown,
+        tally_.no_daemon, tally_.misdirected, tally_.avoidable);
+  Figures all = figures();
+  trace(TraceEvent::totals, all.messages, all.sends, all.retries, all.warmup_peak_over, all.refused_by_runner,
+        all.worst_old_plan_ms, all.worst_leaving_ms, all.worst_notification_ms, all.maps_published, all.register_rounds,
+        network_.cut_off(), network_.lost(), network_.delayed(), disk_bites_);
+  for (const auto& broken : watch_.breaks())
+    trace(TraceEvent::totals, broken.at);
+  return trace_->digest();
+}
+
 std::string FleetSimulation::why_silent() {
   std::string text;
   for (auto& [name, made] : nodes_) {
--- a/packages/fleet-simulator/src/main.cpp
+++ b/packages/fleet-simulator/src/main.cpp
@@ -42,12 +42,26 @@
   --fleet FILE  Of hollow: the fleet.json of a running emberdale-fleet-starter [default: fleet-run/fleet.json].
   --edges N     Of hollow: how many edge daemons [default: 30].
   --gateways N  Of hollow: how many data daemons [default: 30].
+  --digest      Of days: print only a line `shape seed digest` for each seed, a SHA-256 over all that happened in it.
   --story       Print what failed when, for every seed.
   -h --help     Show this.
 )";
 
 namespace {
 
+// Runs each number below `count` once, up to `threads` of them side by side.
+void run_side_by_side(std::uint64_t count, long threads, const std::function<void(std::uint64_t)>& run) {
+  std::atomic<std::uint64_t> next{0};
+  std::vector<std::thread> running;
+  for (long i = 0; i < threads; ++i)
+    running.emplace_back([&] {
+      for (std::uint64_t index = next++; index < count; index = next++)
+        run(index);
+    });
+  for (auto& thread : running)
+    thread.join();
+}
+
 void print(const Figure& figure) {
   std::cout << figure.what << ": median " << figure.median() << ", from " << figure.best() << " to " << figure.worst()
             << " (" << figure.values.size() << " seeds)" << std::endl;
@@ -57,19 +71,23 @@
 Figure over_seeds(const std::string& what, std::uint64_t first, std::uint64_t seeds, long threads,
                   const std::function<std::int64_t(std::uint64_t)>& measure) {
   Figure figure{what, std::vector<std::int64_t>(seeds, -1)};
-  std::atomic<std::uint64_t> next{0};
-  std::vector<std::thread> running;
-  for (long i = 0; i < threads; ++i)
-    running.emplace_back([&] {
-      for (std::uint64_t index = next++; index < seeds; index = next++)
-        figure.values[index] = measure(first + index);
-    });
-  for (auto& thread : running)
-    thread.join();
+  run_side_by_side(seeds, threads, [&](std::uint64_t index) { figure.values[index] = measure(first + index); });
   print(figure);
   return figure;
 }
 
+// Prints a line `shape seed digest` for each seed, in the order of the seeds.
+int print_digests(const std::string& shape, std::uint64_t first, std::uint64_t seeds, long threads, ScenarioPlan plan) {
+  plan.shape.is_traced = true;
+  std::vector<std::string> digests(seeds);
+  run_side_by_side(seeds, threads, [&](std::uint64_t index) {
+    digests[index] = run_random_scenario(first + index, plan).trace_digest;
+  });
+  for (std::uint64_t index = 0; index < seeds; ++index)
+    std::cout << shape << " " << first + index << " " << digests[index] << "\n";
+  return 0;
+}
+
 int measure(std::uint64_t first, std::uint64_t seeds, long threads) {
   auto run = [&](const std::string& what, const std::function<std::int64_t(std::uint64_t)>& act) {
     over_seeds(what, first, seeds, threads, act);
@@ -334,6 +352,8 @@
     plan.shape = caspian_shape();
   if (shape == "kathmandu")
     plan.shape = kathmandu_shape();
+  if (has_days && arguments["--digest"].asBool())
+    return print_digests(shape, first, seeds, arguments["--threads"].asLong(), plan);
   if (arguments["faults"].asBool()) {
     std::cout << "of a thousand calls: turned away with room in reach, turned away, outcome unknown, found no daemon; "
                  "breaks\n";
--- a/packages/fleet-simulator/src/random_scenario.cpp
+++ b/packages/fleet-simulator/src/random_scenario.cpp
@@ -26,6 +26,7 @@
       : plan_(plan), fleet_(seed, plan.shape), random_(seed * 77 + 5) {}
 
   FaultInjectionResult run();
+  std::string trace_digest(const FaultInjectionResult& result);
 
   struct Fault {
     const char* name;
@@ -588,6 +589,29 @@
   return std::move(result_);
 }
 
+// Of the whole day: the fleet's trace and what became of the calls and edits.
+std::string RandomScenario::trace_digest(const FaultInjectionResult& result) {
+  std::string fleet_digest = fleet_.trace_digest();
+  if (fleet_digest.empty())
+    return "";
+  TraceDigest day;
+  day.record(TraceEvent::totals, fleet_.now(), fleet_digest, result.acked, result.refused, result.unknown,
+             result.breaks.size());
+  const CallTally& calls = result.tally;
+  day.record(TraceEvent::totals, fleet_.now(), calls.asked, calls.served, calls.refused, calls.refused_no_grant,
+             calls.unknown, calls.no_daemon, calls.misdirected, calls.avoidable);
+  std::vector<std::int64_t> by_reason;  // sorted by number, since the reasons' wording may change
+  for (const auto& [reason, number] : calls.reasons)
+    by_reason.push_back(number);
+  std::sort(by_reason.begin(), by_reason.end());
+  for (std::int64_t number : by_reason)
+    day.record(TraceEvent::totals, fleet_.now(), number);
+  for (const auto& fault : table())
+    day.record(TraceEvent::totals, fleet_.now(), result.tried.count(fault.name) ? result.tried.at(fault.name) : 0,
+               result.bites.count(fault.name) ? result.bites.at(fault.name) : 0);
+  return day.digest();
+}
+
 // What began in the day has ended; then one more fault, and only the machines it took come back.
 void RandomScenario::last_fault() {
   hold_ = 1000 + random_.below(2000);
@@ -659,7 +683,9 @@
 
 FaultInjectionResult run_random_scenario(std::uint64_t seed, const ScenarioPlan& plan) {
   RandomScenario day(seed, plan);
-  return day.run();
+  FaultInjectionResult result = day.run();
+  result.trace_digest = day.trace_digest(result);
+  return result;
 }
 
 }  // namespace emberdale
--- a/packages/fleet-simulator/src/simulated_calls.cpp
+++ b/packages/fleet-simulator/src/simulated_calls.cpp
@@ -83,6 +83,7 @@
 }
 
 void FleetSimulation::end_finally(const FinalAct& act) {
+  trace(TraceEvent::call_refused, act.call, act.code, act.may_have_run, act.retry_after.value);
   bool wants_grant = act.reason.find("proven current") != std::string::npos;
   end_call(act.call,
            act.may_have_run  ? "unknown"
@@ -103,6 +104,7 @@
   Node& sender = node(daemon);
   SimulatedRunner& runner = runners_.at(act.runner.text);
   CallRecord& call = calls_.at(act.call);
+  trace(TraceEvent::call_sent, act.call, daemon, runner.name, act.incarnation, act.is_retry);
   watch_.sent(now_, {act.call, daemon, runner.name, runner.region, call.wish.home, sender.data->view()->config_revision,
                      act.is_retry});
   std::int64_t incarnation = sender.incarnation;
--- a/packages/fleet-simulator/src/simulated_operators.cpp
+++ b/packages/fleet-simulator/src/simulated_operators.cpp
@@ -45,9 +45,6 @@
   outcome->ask = {request.change_id, kind, name, act, body, now_};
   watch_.asked(outcome->ask);
   outcome->recorded_call = recorder_.asked("operator", where, request, now_);
-  if (getenv("DBG"))
-    fprintf(stderr, "%ld ask %s at %s %s/%s %s\n", now_, request.change_id.c_str(), where.c_str(), kind.c_str(),
-            name.c_str(), body.substr(0, 40).c_str());
   target.control->edit(
       request, [this, outcome](const EditResponse& response) { end_edit(outcome, response); }, clock(target));
   flush(target);
@@ -57,13 +54,10 @@
 void FleetSimulation::end_edit(const std::shared_ptr<EditOutcome>& outcome, const EditResponse& response) {
   outcome->is_over = true;
   outcome->over_at = now_;
-  if (getenv("DBG"))
-    fprintf(stderr, "%ld end %s %s/%s asked %ld code %ld %s\n", now_, outcome->ask.change.c_str(),
-            outcome->ask.kind.c_str(), outcome->ask.name.c_str(), outcome->asked_at, response.code,
-            response.body.substr(0, 90).c_str());
   outcome->code = response.code;
   outcome->version = response.version;
   outcome->body = response.body;
+  trace(TraceEvent::edit_answered, response.code, response.version, response.body);
   recorder_.answered(outcome->recorded_call, response, now_);
   if (response.code == 200 || response.code == 201) {
     auto mark = response.body.find("\"config_revision\":");
