--- a/.ci/check_links.py
+++ b/.ci/check_links.py
@@ -9,15 +9,14 @@
 Prints file, line and target of each reference that leads nowhere, and ends with 1 if there is one.
 """
 
-import os
 import re
 import sys
 from pathlib import Path
 from typing import Iterator, List, NamedTuple, Set
 from urllib.parse import unquote
 
-SKIPPED_DIRECTORIES = {".git", "journal", "target", "__pycache__"}
-SKIPPED_ROOT_PREFIXES = ("build", "fleet-")
+from repository_files import blank, files_under, line_of
+
 SOURCE_SUFFIXES = {".cpp", ".hpp", ".py", ".toml"}
 SOURCE_NAMES = {"CMakeLists.txt"}
 
@@ -58,11 +57,7 @@
 
 def blank_out(pattern: re.Pattern, text: str) -> str:
     """The text with each match replaced by spaces, so that offsets and lines stay."""
-    return pattern.sub(lambda match: re.sub(r"[^\n]", " ", match.group()), text)
-
-
-def line_of(text: str, offset: int) -> int:
-    return text.count("\n", 0, offset) + 1
+    return pattern.sub(lambda match: blank(match.group()), text)
 
 
 def heading_texts(page: str) -> List[str]:
@@ -179,23 +174,10 @@
         if "docs/" not in text:
             return
         self.check_paths(file, text, PAGE_PATH)
-        joined = COMMENT_CONTINUATION.sub(lambda match: "\n" + " " * (len(match.group()) - 1), text)
+        joined = COMMENT_CONTINUATION.sub(lambda match: blank(match.group()), text)
         self.check_cited_sections(file, joined)
 
 
-def is_skipped(directory: Path, root: Path) -> bool:
-    """Whether a directory holds what was built or recorded."""
-    if directory.name in SKIPPED_DIRECTORIES:
-        return True
-    return directory.parent == root and directory.name.startswith(SKIPPED_ROOT_PREFIXES)
-
-
-def files_under(root: Path) -> Iterator[Path]:
-    for directory, subdirectories, names in os.walk(root):
-        subdirectories[:] = sorted(name for name in subdirectories if not is_skipped(Path(directory, name), root))
-        yield from (Path(directory, name) for name in sorted(names))
-
-
 def check_tree(root: Path) -> List[Problem]:
     checker = LinkChecker(root)
     tests_of_checks = root / ".ci" / "tests"
