--- a/packages/control-plane/include/emberdale/control_daemon.hpp
+++ b/packages/control-plane/include/emberdale/control_daemon.hpp
@@ -219,7 +219,7 @@
   }
   // The outside list takes few calls a second from all daemons together: a master that may have been deposed is silent.
   bool may_read_list(TimePoint now) const {
-    return election_.is_master() && now - election_.quorum_confirmed(now) <= list_quorum_age;
+    return election_.is_master() && now - election_.quorum_confirmed_at(now) <= list_quorum_age;
   }
   std::vector<GatewayRow> ready_fronts(TimePoint now) const;
   std::map<Address, GatewayRow> fronts_of_map(const std::vector<DaemonStatus>& subscribers, TimePoint now) const;
--- a/packages/control-plane/src/control_daemon.cpp
+++ b/packages/control-plane/src/control_daemon.cpp
@@ -50,7 +50,7 @@
   membership_registry_.start(now);
   if (is_edge()) {
     for (const auto& seed : settings_.seeds)
-      election_.learn(seed);
+      election_.add_peer(seed);
     election_.start(now);
   }
   on_timer(now);
--- a/packages/control-plane/src/control_interface.cpp
+++ b/packages/control-plane/src/control_interface.cpp
@@ -460,7 +460,7 @@
                                                {"register_value_bytes", p.value_bytes},
                                                {"register_refused_messages", refused_messages},
                                                {"election_rounds", e.rounds},
-                                               {"election_starved_rounds", e.starved},
+                                               {"election_starved_rounds", e.without_quorum},
                                                {"election_joins_failed", e.joins_failed},
                                                {"election_won", e.elected},
                                                {"election_stepped_down", e.stepped_down},
--- a/packages/control-plane/src/control_maps.cpp
+++ b/packages/control-plane/src/control_maps.cpp
@@ -163,16 +163,16 @@
 void ControlDaemon::send_heartbeat(TimePoint now) {
   if (election_.phase() != MasterElection::Phase::following)
     return;
-  heartbeat_next_ = now + settings_.election.follow;
+  heartbeat_next_ = now + settings_.election.heartbeat_interval;
   Heartbeat heartbeat;
   heartbeat.sender = settings_.self;
   heartbeat.term = election_.term();
-  heartbeat.acknowledged_timestamp = election_.acknowledgement(now);
+  heartbeat.acknowledged_timestamp = election_.acknowledged_timestamp(now);
   heartbeat.version = map_.version;
   heartbeat.routing_table_revision = map_.routing_table_revision;
   heartbeat.runner_statuses = runner_health_monitor_.reports(now);
   heartbeat.daemon_statuses = slices_.in_force(now);
-  heartbeat.master_timestamp = election_.master_stamp();
+  heartbeat.master_timestamp = election_.master_timestamp();
   heartbeat.sent_at = now.value;
   out_.push_back({election_.master(), std::move(heartbeat)});
 }
--- a/packages/control-plane/src/control_membership.cpp
+++ b/packages/control-plane/src/control_membership.cpp
@@ -129,7 +129,7 @@
       [this, now](const ChangeEnd& end) {
         is_claiming_ = false;
         bool is_won = end.kind == ChangeEnd::Kind::committed;
-        election_.claim_ended(is_won, is_won ? end.state.term : 0, now);
+        election_.on_claim_result(is_won, is_won ? end.state.term : 0, now);
       },
       now, Duration{2500});
 }
@@ -151,7 +151,7 @@
 void ControlDaemon::on_refused(const Address& peer, TimePoint now) {
   reconciler_.on_refused(peer);
   if (is_edge())
-    election_.refused(peer, now);
+    election_.on_connection_refused(peer, now);
   auto known = known_.find(peer);
   if (known != known_.end())
     known->second.heard = TimePoint{now.value - alive_timeout.value - 1};
--- a/packages/control-plane/src/control_messages.cpp
+++ b/packages/control-plane/src/control_messages.cpp
@@ -228,9 +228,9 @@
 
 void ControlDaemon::hear_master(TimePoint now) {
   if (!election_.is_master())
-    slices_.hear_master(election_.master_confirmed());
+    slices_.hear_master(election_.master_confirmed_at());
   else if (map_.version.term == election_.term())
-    slices_.hear_master(election_.quorum_confirmed(now));
+    slices_.hear_master(election_.quorum_confirmed_at(now));
 }
 
 void ControlDaemon::synced(std::int64_t token, TimePoint now) {
--- a/packages/control-plane/src/control_operators.cpp
+++ b/packages/control-plane/src/control_operators.cpp
@@ -63,7 +63,7 @@
   if (master == settings_.self.address)
     return;
   std::int64_t term = std::max(proposer_.state().term, election_.term());
-  for (auto& message : forwarder_.send(master, term, now, election_.master_stamp(term)))
+  for (auto& message : forwarder_.send(master, term, now, election_.master_timestamp(term)))
     out_.push_back(std::move(message));
 }
 
--- a/packages/control-plane/tests/master_edits_test.cpp
+++ b/packages/control-plane/tests/master_edits_test.cpp
@@ -88,7 +88,7 @@
   election.start(TimePoint{0});
   for (TimePoint at{0}; at < now && !election.drain_claim(); at = at + Duration{10})
     election.on_timer(at);
-  election.claim_ended(true, 1, now);
+  election.on_claim_result(true, 1, now);
   EXPECT_TRUE(election.is_master());
   return election;
 }
--- a/packages/control-plane/tests/operator_wait_test.cpp
+++ b/packages/control-plane/tests/operator_wait_test.cpp
@@ -21,13 +21,13 @@
 // Regions that are 55 ms apart.
 ElectionTimes near_regions() {
   ElectionTimes times;
-  times.ping_round = Duration{1000};
-  times.ping_again = Duration{350};
-  times.join = Duration{800};
-  times.follow = Duration{300};
-  times.master_silence = Duration{1300};
-  times.lonely_master = Duration{2000};
-  times.pause = Duration{150};
+  times.round_timeout = Duration{1000};
+  times.ping_interval = Duration{350};
+  times.join_timeout = Duration{800};
+  times.heartbeat_interval = Duration{300};
+  times.master_timeout = Duration{1300};
+  times.quorum_timeout = Duration{2000};
+  times.retry_delay = Duration{150};
   return times;
 }
 
--- a/packages/control-plane/tests/order_age_test.cpp
+++ b/packages/control-plane/tests/order_age_test.cpp
@@ -233,7 +233,7 @@
       now = now + Duration{100};
       election.on_timer(now);
       if (election.drain_claim())
-        election.claim_ended(true, term, now);
+        election.on_claim_result(true, term, now);
     }
     edits.begin();
   };
--- a/packages/master-election/include/emberdale/master_election.hpp
+++ b/packages/master-election/include/emberdale/master_election.hpp
@@ -1,6 +1,12 @@
-// The election of the one master among the control daemons of the edge machines: ping rounds,
-// joining a reported master, quorum-gated ranking, joins, and a claim in the register.
-// Without I/O, clock or threads. docs/election.md says what was kept of the source.
+// Election of one master among the control daemons of role "edge".
+//
+// The algorithm is the bully election of Elasticsearch before 7.x (ZenDiscovery): bounded ping rounds, a join to a
+// master that peers report, otherwise a ranking that requires a quorum, joins, and the start of a term. The comments
+// name the functions of that source, and the headings of docs/election.md where this differs from it. The largest
+// difference: a candidate that has its joins still has to claim a term in the replicated register ("Fence").
+//
+// A state machine without I/O, clock or threads: the owner brings messages and the time, and sends what
+// drain_outbound() gives. Not safe for use by several threads at once.
 #pragma once
 #include <map>
 #include <optional>
@@ -12,130 +18,223 @@
 
 namespace emberdale {
 
+// Timeouts and intervals of the election, in milliseconds.
 struct ElectionTimes {
-  Duration ping_round{3000};      // the bounded time of findMaster
-  Duration ping_again{700};       // within a round, peers are pinged again to keep answers fresh
-  Duration join{1500};            // how long joins are awaited, and answers to a join
-  Duration follow{400};           // a follower's pings to its master
-  Duration master_silence{1500};  // after this long without an answer the master counts as down
-  Duration lonely_master{2500};   // a master that hears no quorum for so long steps down
-  Duration pause{250};            // between failed rounds, plus as much again at random
+  Duration round_timeout{3000};  // longest duration of a ping round; also how long a pending join counts
+  Duration ping_interval{700};   // between the pings to one peer within a round
+  Duration join_timeout{1500};   // wait of a candidate for its quorum of joins; a joining daemon waits twice as long
+  Duration heartbeat_interval{400};  // between the heartbeats of a follower
+  Duration master_timeout{1500};     // a master or follower that was not heard for longer counts as down
+  Duration quorum_timeout{2500};     // a master that has not heard a quorum for longer steps down
+  Duration retry_delay{250};         // between failed rounds; a random part of the same length is added
 };
 
-// A term that this daemon may now claim in the register: it has quorum - 1 joins.
+// A term that this daemon may claim in the register now: quorum - 1 daemons have joined it.
 struct TermClaim {
-  std::int64_t expected_term = 0;
+  std::int64_t expected_term = 0;  // the newest term known; the claim is for the one after it
   std::set<Address> joined;
-  std::set<Address> promised;  // of these: those that will acknowledge for no term up to the expected one
+  // This daemon, and those of `joined` that will acknowledge no timestamp for any term up to the expected one
+  // (docs/election.md, "Acknowledged timestamps and promises").
+  std::set<Address> promised;
 };
 
+// One daemon's part in the election.
+//
 // Example:
-//   MasterElection election(self, Dice(1)); election.set_roster(roster, term); election.start(now);
-//   election.on_message(from, message, now); election.on_timer(now);
-//   if (auto claim = election.drain_claim()) register.change(claim_change(*claim), ...);
-//   election.claim_ended(true, 4, now);       // the register says: term 4 is ours
+//   MasterElection election(self, RandomGenerator(1));
+//   election.set_roster(roster, term, term_master, now);
+//   election.start(now);
+//   election.on_message(from, message, now);
+//   election.on_timer(now);
+//   if (auto claim = election.drain_claim())
+//     claim_in_register(*claim);          // compare-and-set of the term, by the owner
+//   election.on_claim_result(true, 4, now);  // the register says that term 4 is this daemon's
 class MasterElection {
  public:
-  enum class Phase { idle, pinging, pausing, awaiting_joins, claiming, joining, following, leading };
+  enum class Phase {
+    idle,            // not started, or stopped
+    pinging,         // a ping round is under way (findMaster)
+    backing_off,     // the last round came to nothing; the next one begins soon
+    awaiting_joins,  // ranked first, waits for quorum - 1 joins (waitToBeElectedAsMaster)
+    claiming,        // has its joins; the register decides on the term
+    joining,         // waits for the response to its own join
+    following,
+    leading
+  };
+
+  // How often something has happened since the start.
+  struct Counts {
+    std::int64_t rounds = 0;
+    std::int64_t without_quorum = 0;  // rounds that had too few candidates for a ranking
+    std::int64_t joins_failed = 0;
+    std::int64_t elected = 0;
+    std::int64_t stepped_down = 0;
+  };
 
   MasterElection(DaemonEntry self, RandomGenerator random, ElectionTimes times = {})
-      : self_(std::move(self)), random_(random), times_(times), ask_(first_request_id(random_)) {}
+      : self_(std::move(self)), random_(random), times_(times), request_id_(first_request_id(random_)) {}
 
+  // Begins the first round. Does nothing unless the phase is idle.
   void start(TimePoint now);
-  // The eligible daemons (nodeCount) and the term, as the register has them.
+  // Sets the eligible daemons (nodeCount of the source) with the newest term and its master, as read from the register.
+  // Makes a master or follower of a replaced term give it up; an older term is ignored.
   void set_roster(const std::vector<DaemonEntry>& roster, std::int64_t term, const Address& term_master, TimePoint now);
-  // Daemons to ping beside the roster: seeds and what answers named.
-  void learn(const Address& peer);
+  // Adds a daemon to be pinged beside those of the roster: a seed, or one that a peer named.
+  void add_peer(const Address& peer);
+  // Sets the version of the map that this daemon holds, by which it is ranked.
   void set_version(const MapVersion& version) { version_ = version; }
-  // No one listens at that address: its process is gone, not asleep. Example: election.refused(peer, now)
-  void refused(const Address& peer, TimePoint now);
-  // What a follower acknowledges to its master: the newest stamp of the master's clock; 0: nothing, it has
-  // promised not to. Example: follow.acknowledge = election.acknowledge(now)
-  std::int64_t acknowledgement(TimePoint now) const;
-  // The newest stamp of the clock of the master that is followed in that term; 0: none was heard.
-  // Example: ask.stamp = election.master_stamp(ask.term)
-  std::int64_t master_stamp(std::int64_t term) const { return stamp_term_ == term ? stamp_ : 0; }
-  // Whether a majority of those daemons has acknowledged a stamp at most so old: they followed this master since.
-  // Example: election.is_acknowledged(roster, Duration{1200}, now)
-  bool is_acknowledged(const std::vector<Address>& roster, Duration age, TimePoint now) const;
-
-  bool on_message(const Address& from, const Message& message, TimePoint now);
+  // The address refuses connections: its process has ended. Ends the wait for that peer, and decides nothing else: only
+  // more than half of the eligible daemons can find a master down (docs/election.md, "Refused connections").
+  void on_connection_refused(const Address& peer, TimePoint now);
+  // Handles the messages of the election and ignores all others. A PingRequest is noted here and answered by the
+  // owner; the statuses of a Heartbeat are the owner's as well.
+  void on_message(const Address& from, const Message& message, TimePoint now);
+  // Ends rounds and waits whose time is up. To be called every few tens of milliseconds.
   void on_timer(TimePoint now);
+  // The claim to make in the register, once; then on_claim_result() is to be called.
   std::optional<TermClaim> drain_claim();
-  void claim_ended(bool is_won, std::int64_t term, TimePoint now);
-  // A clean stop: peers start a round at once. Example: election.leave();
+  // The result of the claim. `term` is the claimed term; it only counts if the claim was won.
+  void on_claim_result(bool is_won, std::int64_t term, TimePoint now);
+  // Stops, and notifies all peers, which then begin a round without waiting for a timeout.
   void leave();
+  // The messages to send, in order.
+  std::vector<OutboundMessage> drain_outbound();
 
   bool is_master() const { return phase_ == Phase::leading; }
-  const Address& master() const { return master_; }  // empty: none, or found down
+  // The master that is followed, or this daemon; empty if there is none or it was found down.
+  const Address& master() const { return master_; }
   std::int64_t term() const { return term_; }
   Phase phase() const { return phase_; }
+  // Daemons that a ranking, a claim and a master need, this one among them.
   std::size_t quorum() const { return roster_.size() / 2 + 1; }
-  // Rounds in a row that had too few answers for a ranking.
+  // Rounds since the last one that had enough candidates for a ranking or found a master.
   int rounds_without_quorum() const { return rounds_without_quorum_; }
-  // The newest stamp of its master's clock that this follower has seen in this term; 0: none.
-  std::int64_t master_stamp() const { return stamp_term_ == term_ ? stamp_ : 0; }
-  // A moment at which a quorum surely followed this master: each has shown a stamp that its clock had then. Frames that
-  // waited through a pause show old stamps. Example: now - election.quorum_confirmed(now) <= Duration{1500}
-  TimePoint quorum_confirmed(TimePoint now) const;
-  // The same at a follower that holds its master's newest map: from before it asked, less what the master told.
-  TimePoint master_confirmed() const { return master_confirmed_; }
-  const std::map<Address, TimePoint>& followers() const { return followers_; }
-  std::vector<OutboundMessage> drain_outbound();
-
-  struct Counts {
-    std::int64_t rounds = 0, starved = 0, joins_failed = 0, elected = 0, stepped_down = 0;
-  };
   const Counts& counts() const { return counts_; }
 
+  // At a follower: the newest timestamp of its master's clock that it has seen in this term; 0 if none.
+  std::int64_t master_timestamp() const { return master_timestamp(term_); }
+  // The same for another term.
+  std::int64_t master_timestamp(std::int64_t term) const {
+    return master_timestamp_term_ == term ? master_timestamp_ : 0;
+  }
+  // At a follower: the timestamp that its heartbeats acknowledge; 0 if it has promised to acknowledge nothing for this
+  // term or has only just started.
+  std::int64_t acknowledged_timestamp(TimePoint now) const;
+  // At a follower: a moment at which a quorum surely followed its master, as this daemon's own clock had it; only set
+  // from responses of a master whose map is not newer than this daemon's.
+  TimePoint master_confirmed_at() const { return master_confirmed_at_; }
+
+  // At a master: whether a majority of `roster` has acknowledged timestamps that are at most `age` old, which shows
+  // that it has followed this master since.
+  bool is_acknowledged(const std::vector<Address>& roster, Duration age, TimePoint now) const;
+  // At a master: the newest moment at which a quorum surely followed it. Counts the timestamps that heartbeats
+  // return, not when they came: those that waited in a connection show an old one. Long ago if there is none.
+  TimePoint quorum_confirmed_at(TimePoint now) const;
+  // At a master: when each follower was last heard.
+  const std::map<Address, TimePoint>& followers() const { return followers_; }
+
  private:
-  struct Answer {
-    Address master;
+  // What a peer reported in this round.
+  struct PeerReport {
+    Address master;  // empty: it follows none, or finds its master down
     MapVersion version;
-    std::int64_t stamp = 0;
+    std::int64_t response_timestamp = 0;  // of the peer's clock; a join returns it
+  };
+  // A join that has not been answered yet.
+  struct PendingJoin {
+    TimePoint received_at;
+    std::int64_t request_id = 0;
+    std::int64_t term = 0;                // the sender acknowledges for no term up to this one
+    std::int64_t response_timestamp = 0;  // of this daemon's clock, from the ping response that led to the join
   };
-  struct Joined {
-    TimePoint at;
-    std::int64_t ask = 0, term = 0, stamp = 0;
+  // A daemon that may be elected in this round.
+  struct Candidate {
+    MapVersion version;
+    Address daemon;
   };
+
+  // Handlers of messages, chosen by on_message().
+  void handle(const Address& from, const PingRequest& request, TimePoint now);
+  void handle(const Address& from, const PingResponse& response, TimePoint now);
+  void handle(const Address& from, const JoinRequest& request, TimePoint now);
+  void handle(const Address& from, const JoinResponse& response, TimePoint now);
+  void handle(const Address& from, const LeaveNotice& notice, TimePoint now);
+  void handle(const Address& from, const Heartbeat& heartbeat, TimePoint now);
+  void handle(const Address& from, const HeartbeatResponse& response, TimePoint now);
+  template <class OtherMessage>
+  void handle(const Address&, const OtherMessage&, TimePoint) {}
+
+  // Rounds.
   void begin_round(TimePoint now);
-  void pause(TimePoint now);
-  void ping_everyone();
+  void ping(const Address& peer);
+  void ping_all_peers();
+  void add_named_peers(const std::vector<DaemonEntry>& named);
+  bool have_all_peers_reported() const;
   void end_round(TimePoint now);
-  void step_down(TimePoint now);
+  std::optional<Address> find_active_master() const;
   bool is_found_down(const Address& master) const;
-  void check_joins(TimePoint now);
+  std::optional<Address> rank_candidates() const;
+  void back_off(TimePoint now);
+
+  // Joins and terms.
+  void promise_no_acknowledgements();
+  void send_join(const Address& to, std::int64_t promised_term, TimePoint now);
+  void await_joins(TimePoint now);
+  void claim_if_quorum_joined(TimePoint now);
   void refuse_joins(const std::string& reason);
-  bool has_heard_all() const;
+  void fail_join(TimePoint now);
+  void follow(const Address& master, std::int64_t term, TimePoint now);
+  void abandon_master(TimePoint now);
+  void note_returned_timestamps(const Address& from, const Heartbeat& heartbeat, TimePoint now);
+  void check_quorum(TimePoint now);
+  void step_down(TimePoint now);
+
   bool is_eligible(const Address& daemon) const { return roster_.count(daemon) != 0; }
 
+  // Before any moment that a daemon can see on its clock.
+  static constexpr TimePoint long_ago{-1000000};
+  // The term of a join to a master that leads already: no promise goes with it.
+  static constexpr std::int64_t no_promise = -1;
+
   DaemonEntry self_;
   RandomGenerator random_;
   ElectionTimes times_;
   Phase phase_ = Phase::idle;
   Address master_;
-  std::int64_t term_ = 0;  // the newest term the register showed, or that we lead
-  Address term_master_;
-  MapVersion version_;
+  std::int64_t term_ = 0;  // the newest that the register or a master showed; never goes back
+  MapVersion version_;     // of the map that this daemon holds
   std::set<Address> roster_;
-  std::set<Address> peers_;
-  std::map<Address, Answer> answers_;
-  std::map<Address, Joined> joins_;  // recent joins
-  std::set<Address> refused_;        // in this round: no one listens there
-  std::map<Address, TimePoint> acknowledgements_;
-  TimePoint started_;
-  std::int64_t promised_through_ = -1;  // acknowledges for no term up to this one
-  std::int64_t stamp_ = 0, stamp_term_ = -1;
-  std::map<Address, TimePoint> followers_;
-  std::map<Address, TimePoint> shown_stamps_;  // by follower: the newest stamp of this master's clock that it has shown
-  TimePoint master_confirmed_{-1000000};
-  std::set<Address> left_;  // stopped cleanly: not waited for until they speak again
-  std::int64_t ask_;
-  TimePoint phase_end_, ping_next_, heartbeat_next_, master_heard_, quorum_heard_;
-  Address joining_;
+  std::set<Address> peers_;     // all daemons to ping; never this one
+  std::set<Address> departed_;  // sent a LeaveNotice and no ping since: neither pinged nor waited for
+  TimePoint started_at_;
+  std::int64_t request_id_;  // of the newest round or join; responses to older ones are ignored
+
+  // The round under way.
+  std::map<Address, PeerReport> reports_;
+  std::set<Address> refusing_;  // peers whose address refuses connections
+  TimePoint phase_ends_at_;     // of a round, a delay or a wait for joins or a response
+  TimePoint next_ping_at_;
   int rounds_without_quorum_ = 0;
+
+  // Joins.
+  std::map<Address, PendingJoin> pending_joins_;
+  Address joining_;                     // to whom this daemon's own join was sent
+  std::int64_t promised_through_ = -1;  // this daemon acknowledges for no term up to this one
   std::optional<TermClaim> claim_;
-  std::vector<OutboundMessage> out_;
+
+  // At a follower.
+  TimePoint master_heard_at_;
+  std::int64_t master_timestamp_ = 0;  // the newest of the master's clock, seen in the term of the next line
+  std::int64_t master_timestamp_term_ = -1;
+  TimePoint master_confirmed_at_ = long_ago;
+
+  // At a master.
+  TimePoint quorum_heard_at_;
+  std::map<Address, TimePoint> followers_;                // when each was last heard
+  std::map<Address, TimePoint> acknowledged_timestamps_;  // the newest that each acknowledged
+  std::map<Address, TimePoint> returned_timestamps_;      // the newest that each has returned, acknowledged or not
+
+  std::vector<OutboundMessage> outbound_;
   Counts counts_;
 };
 
--- a/packages/master-election/src/master_election.cpp
+++ b/packages/master-election/src/master_election.cpp
@@ -6,18 +6,28 @@
 
 namespace emberdale {
 
+namespace {
+
+// Reasons of a JoinResponse that refuses. They are sent: their text stays.
+constexpr const char* reason_following_another = "following another";
+constexpr const char* reason_claim_lost = "claim lost";
+constexpr const char* reason_too_few_joins = "too few joins";
+
+}  // namespace
+
 void MasterElection::start(TimePoint now) {
   if (phase_ != Phase::idle)
     return;
-  started_ = now;
+  started_at_ = now;
   begin_round(now);
 }
 
-void MasterElection::learn(const Address& peer) {
+void MasterElection::add_peer(const Address& peer) {
   if (peer != self_.address && !peer.empty())
     peers_.insert(peer);
 }
 
+// docs/election.md, "nodeCount": the roster in the register takes the place of minimum_master_nodes.
 void MasterElection::set_roster(const std::vector<DaemonEntry>& roster, std::int64_t term, const Address& term_master,
                                 TimePoint now) {
   roster_.clear();
@@ -25,120 +35,153 @@
     roster_.insert(entry.address);
   for (auto entry = peers_.begin(); entry != peers_.end();) {
     // Dead members that left the roster are not waited for any more; live ones name themselves again.
-    if (roster_.count(*entry) == 0 && answers_.count(*entry) == 0)
+    if (roster_.count(*entry) == 0 && reports_.count(*entry) == 0)
       entry = peers_.erase(entry);
     else
       ++entry;
   }
   for (const auto& address : roster_)
-    learn(address);
+    add_peer(address);
   if (term < term_)
     return;
   bool is_newer = term > term_;
   term_ = term;
-  term_master_ = term_master;
   if (phase_ == Phase::leading && (is_newer || term_master != self_.address))
     step_down(now);
-  if (phase_ == Phase::following && is_newer && term_master != master_) {
-    master_ = Address{};  // the master that was joined has been replaced
-    begin_round(now);
-  }
+  if (phase_ == Phase::following && is_newer && term_master != master_)
+    abandon_master(now);  // it has been replaced
 }
 
-void MasterElection::ping_everyone() {
+void MasterElection::ping(const Address& peer) {
+  outbound_.push_back({peer, PingRequest{request_id_, self_, master_, version_}});
+}
+
+void MasterElection::ping_all_peers() {
   for (const auto& peer : peers_)
-    if (left_.count(peer) == 0)
-      out_.push_back({peer, PingRequest{ask_, self_, master_, version_}});
+    if (departed_.count(peer) == 0)
+      ping(peer);
 }
 
+// pingAndWait of the source: all known daemons at once, for a bounded time.
 void MasterElection::begin_round(TimePoint now) {
   ++counts_.rounds;
   phase_ = Phase::pinging;
-  ++ask_;
-  answers_.clear();
-  refused_.clear();
-  phase_end_ = now + times_.ping_round;
-  ping_next_ = now + times_.ping_again;
-  ping_everyone();
+  ++request_id_;
+  reports_.clear();
+  refusing_.clear();
+  phase_ends_at_ = now + times_.round_timeout;
+  next_ping_at_ = now + times_.ping_interval;
+  ping_all_peers();
 }
 
-void MasterElection::pause(TimePoint now) {
-  phase_ = Phase::pausing;
-  phase_end_ = now + Duration{times_.pause.value + random_.below(times_.pause.value)};
+void MasterElection::back_off(TimePoint now) {
+  phase_ = Phase::backing_off;
+  std::int64_t delay = times_.retry_delay.value;
+  phase_ends_at_ = now + Duration{delay + random_.below(delay)};
 }
 
-// More than half of the eligible daemons find that master down: they answer, and name it no more.
+// The source's protection against a "false death": a master is replaced only if more than half of the eligible daemons
+// find it down. docs/election.md, "Unseating without reports": they show it by a response that doesn't name it.
 bool MasterElection::is_found_down(const Address& master) const {
-  if (left_.count(master) != 0)
+  if (departed_.count(master) != 0)
     return true;  // it said so itself
-  if (answers_.count(master) != 0)
+  if (reports_.count(master) != 0)
     return false;
   std::size_t find_it_down = 1;  // this daemon, which is in a round
-  for (const auto& [daemon, answer] : answers_)
-    if (is_eligible(daemon) && answer.master != master)
+  for (const auto& [daemon, report] : reports_)
+    if (is_eligible(daemon) && report.master != master)
       ++find_it_down;
   return find_it_down > roster_.size() / 2;
 }
 
+// tieBreakActiveMasters of the source: the smallest address among the masters that peers report.
+std::optional<Address> MasterElection::find_active_master() const {
+  std::optional<Address> smallest;
+  for (const auto& [daemon, report] : reports_) {
+    const Address& master = report.master;
+    if (master.empty() || master == self_.address || is_found_down(master))
+      continue;
+    if (!smallest || master < *smallest)
+      smallest = master;
+  }
+  return smallest;
+}
+
+// hasEnoughCandidates and electMaster of the source: none without a quorum; else the highest state version first, then
+// the smallest id. The state version is that of the map, which a majority of the roster holds once it is acknowledged.
+std::optional<Address> MasterElection::rank_candidates() const {
+  std::vector<Candidate> candidates;
+  if (is_eligible(self_.address))
+    candidates.push_back({version_, self_.address});
+  for (const auto& [daemon, report] : reports_)
+    if (is_eligible(daemon))
+      candidates.push_back({report.version, daemon});
+  if (roster_.empty() || candidates.size() < quorum())
+    return std::nullopt;
+  auto ranks_before = [](const Candidate& left, const Candidate& right) {
+    return left.version == right.version ? left.daemon < right.daemon : right.version < left.version;
+  };
+  return std::min_element(candidates.begin(), candidates.end(), ranks_before)->daemon;
+}
+
+// findMaster of the source, once the pings are over.
 void MasterElection::end_round(TimePoint now) {
-  std::set<Address> active;
-  for (const auto& [daemon, answer] : answers_)
-    if (!answer.master.empty() && answer.master != self_.address && !is_found_down(answer.master))
-      active.insert(answer.master);
-  if (!active.empty()) {
-    rounds_without_quorum_ = 0;
-    joining_ = *active.begin();
-  } else {
-    struct Candidate {
-      MapVersion version;
-      Address daemon;
-    };
-    std::vector<Candidate> candidates;
-    if (is_eligible(self_.address))
-      candidates.push_back({version_, self_.address});
-    for (const auto& [daemon, answer] : answers_)
-      if (is_eligible(daemon))
-        candidates.push_back({answer.version, daemon});
-    if (roster_.empty() || candidates.size() < quorum()) {
-      ++counts_.starved;
-      ++rounds_without_quorum_;
-      pause(now);
-      return;
-    }
+  if (auto master = find_active_master()) {
     rounds_without_quorum_ = 0;
-    std::sort(candidates.begin(), candidates.end(), [](const Candidate& a, const Candidate& b) {
-      return a.version == b.version ? a.daemon < b.daemon : b.version < a.version;
-    });
-    if (candidates.front().daemon == self_.address) {
-      phase_ = Phase::awaiting_joins;
-      promised_through_ = std::max(promised_through_, term_);
-      phase_end_ = now + times_.join;
-      check_joins(now);
-      return;
-    }
-    joining_ = candidates.front().daemon;
+    send_join(*master, no_promise, now);
+    return;
   }
-  // A join of a daemon that does not lead yet counts for its claim: nothing is acknowledged to its elders then.
-  if (active.empty())
-    promised_through_ = std::max(promised_through_, term_);
-  auto answer = answers_.find(joining_);
+  auto candidate = rank_candidates();
+  if (!candidate) {
+    ++counts_.without_quorum;
+    ++rounds_without_quorum_;
+    back_off(now);
+    return;
+  }
+  rounds_without_quorum_ = 0;
+  promise_no_acknowledgements();
+  if (*candidate == self_.address)
+    await_joins(now);
+  else
+    send_join(*candidate, term_, now);
+}
+
+// docs/election.md, "Acknowledged timestamps and promises": a join to a daemon that doesn't lead yet counts for its
+// claim, so previous masters get no acknowledgement any more.
+void MasterElection::promise_no_acknowledgements() { promised_through_ = std::max(promised_through_, term_); }
+
+void MasterElection::send_join(const Address& to, std::int64_t promised_term, TimePoint now) {
+  joining_ = to;
   phase_ = Phase::joining;
-  phase_end_ = now + times_.join + times_.join;  // the master-to-be waits for joins, then claims
-  ++ask_;
-  out_.push_back({joining_, JoinRequest{ask_, self_, version_, active.empty() ? term_ : -1,
-                                        answer == answers_.end() ? 0 : answer->second.stamp}});
+  // The candidate waits for joins, then claims its term.
+  phase_ends_at_ = now + times_.join_timeout + times_.join_timeout;
+  ++request_id_;
+  auto report = reports_.find(to);
+  std::int64_t response_timestamp = report == reports_.end() ? 0 : report->second.response_timestamp;
+  outbound_.push_back({to, JoinRequest{request_id_, self_, version_, promised_term, response_timestamp}});
 }
 
-void MasterElection::check_joins(TimePoint now) {
+// waitToBeElectedAsMaster of the source.
+void MasterElection::await_joins(TimePoint now) {
+  phase_ = Phase::awaiting_joins;
+  phase_ends_at_ = now + times_.join_timeout;
+  claim_if_quorum_joined(now);
+}
+
+// checkPendingJoinsAndElectIfNeeded of the source. docs/election.md, "Fence": with its joins a daemon isn't master yet,
+// it may claim a term.
+void MasterElection::claim_if_quorum_joined(TimePoint now) {
   if (phase_ != Phase::awaiting_joins)
     return;
-  std::set<Address> joined, promised{self_.address};
-  for (const auto& [daemon, join] : joins_)
-    if (is_eligible(daemon) && now - join.at <= times_.ping_round) {
-      joined.insert(daemon);
-      if (join.term == term_ && now - TimePoint{join.stamp} <= promise_length)
-        promised.insert(daemon);
-    }
+  std::set<Address> joined;
+  std::set<Address> promised{self_.address};
+  for (const auto& [daemon, join] : pending_joins_) {
+    if (!is_eligible(daemon) || now - join.received_at > times_.round_timeout)
+      continue;
+    joined.insert(daemon);
+    if (join.term == term_ && now - TimePoint{join.response_timestamp} <= promise_length)
+      promised.insert(daemon);
+  }
   if (joined.size() + 1 < quorum())
     return;
   phase_ = Phase::claiming;
@@ -146,262 +189,287 @@
 }
 
 void MasterElection::refuse_joins(const std::string& reason) {
-  for (const auto& [daemon, join] : joins_)
-    out_.push_back({daemon, JoinResponse{join.ask, false, term_, reason}});
-  joins_.clear();
+  for (const auto& [daemon, join] : pending_joins_)
+    outbound_.push_back({daemon, JoinResponse{join.request_id, false, term_, reason}});
+  pending_joins_.clear();
+}
+
+void MasterElection::fail_join(TimePoint now) {
+  ++counts_.joins_failed;
+  back_off(now);
 }
 
 std::optional<TermClaim> MasterElection::drain_claim() { return std::exchange(claim_, std::nullopt); }
 
-void MasterElection::claim_ended(bool is_won, std::int64_t term, TimePoint now) {
+void MasterElection::on_claim_result(bool is_won, std::int64_t term, TimePoint now) {
   if (phase_ != Phase::claiming)
     return;
   if (!is_won) {
-    refuse_joins("claim lost");
-    pause(now);
+    refuse_joins(reason_claim_lost);
+    back_off(now);
     return;
   }
   ++counts_.elected;
   phase_ = Phase::leading;
-  master_ = term_master_ = self_.address;
+  master_ = self_.address;
   term_ = term;
-  quorum_heard_ = now;
+  quorum_heard_at_ = now;
   followers_.clear();
-  acknowledgements_.clear();
-  shown_stamps_.clear();
-  for (const auto& [daemon, join] : joins_) {
-    followers_[daemon] = shown_stamps_[daemon] = now;
-    out_.push_back({daemon, JoinResponse{join.ask, true, term_, ""}});
+  acknowledged_timestamps_.clear();
+  returned_timestamps_.clear();
+  for (const auto& [daemon, join] : pending_joins_) {
+    followers_[daemon] = now;
+    returned_timestamps_[daemon] = now;
+    outbound_.push_back({daemon, JoinResponse{join.request_id, true, term_, ""}});
   }
-  joins_.clear();
+  pending_joins_.clear();
+}
+
+void MasterElection::follow(const Address& master, std::int64_t term, TimePoint now) {
+  phase_ = Phase::following;
+  master_ = master;
+  term_ = term;
+  master_heard_at_ = now;
+  refuse_joins(reason_following_another);  // else their senders would wait for the whole timeout
+}
+
+// From here on this daemon's pings and ping responses name no master, which says that it finds the master down.
+void MasterElection::abandon_master(TimePoint now) {
+  master_ = Address{};
+  begin_round(now);
 }
 
 void MasterElection::step_down(TimePoint now) {
   ++counts_.stepped_down;
-  master_ = Address{};
   followers_.clear();
-  begin_round(now);
+  abandon_master(now);
 }
 
 void MasterElection::leave() {
   master_ = Address{};
   phase_ = Phase::idle;
   for (const auto& peer : peers_)
-    out_.push_back({peer, LeaveNotice{self_}});
+    outbound_.push_back({peer, LeaveNotice{self_}});
 }
 
-// All known have answered, have taken their leave, or are gone; and the roster has been read.
-bool MasterElection::has_heard_all() const {
+// docs/election.md, "Early end": all known peers have responded, have left or refuse connections, and the roster has
+// been read.
+bool MasterElection::have_all_peers_reported() const {
   return !roster_.empty() && std::all_of(peers_.begin(), peers_.end(), [&](const auto& peer) {
-    return answers_.count(peer) != 0 || left_.count(peer) != 0 || refused_.count(peer) != 0;
+    return reports_.count(peer) != 0 || departed_.count(peer) != 0 || refusing_.count(peer) != 0;
   });
 }
 
-// A definite refusal is the quickest failed ping. It ends waiting, and decides nothing: whether a master is
-// down is still for more than half to find.
-void MasterElection::refused(const Address& peer, TimePoint now) {
+void MasterElection::on_connection_refused(const Address& peer, TimePoint now) {
   followers_.erase(peer);
-  if (phase_ == Phase::following && peer == master_) {
-    master_ = Address{};
-    begin_round(now);
-  }
+  if (phase_ == Phase::following && peer == master_)
+    abandon_master(now);
   if (phase_ == Phase::joining && peer == joining_) {
-    ++counts_.joins_failed;
-    pause(now);
+    fail_join(now);
     return;
   }
-  if (phase_ != Phase::pinging || peers_.count(peer) == 0 || answers_.count(peer) != 0)
+  if (phase_ != Phase::pinging || peers_.count(peer) == 0 || reports_.count(peer) != 0)
     return;
-  refused_.insert(peer);
-  if (has_heard_all())
+  refusing_.insert(peer);
+  if (have_all_peers_reported())
     end_round(now);
 }
 
-std::int64_t MasterElection::acknowledgement(TimePoint now) const {
-  bool may_acknowledgement =
-      promised_through_ < term_ && stamp_term_ == term_ && now - started_ >= acknowledgement_quarantine;
-  return may_acknowledgement ? stamp_ : 0;
+std::int64_t MasterElection::acknowledged_timestamp(TimePoint now) const {
+  bool has_promised_not_to = promised_through_ >= term_;
+  // A promise of this daemon's previous incarnation may still count for a candidate.
+  bool is_in_quarantine = now - started_at_ < acknowledgement_quarantine;
+  return has_promised_not_to || is_in_quarantine ? 0 : master_timestamp();
 }
 
 bool MasterElection::is_acknowledged(const std::vector<Address>& roster, Duration age, TimePoint now) const {
   std::size_t acknowledged = 0;
   for (const auto& daemon : roster) {
-    auto entry = acknowledgements_.find(daemon);
-    if (daemon == self_.address || (entry != acknowledgements_.end() && now - entry->second <= age))
+    auto entry = acknowledged_timestamps_.find(daemon);
+    if (daemon == self_.address || (entry != acknowledged_timestamps_.end() && now - entry->second <= age))
       ++acknowledged;
   }
   return acknowledged > roster.size() / 2;
 }
 
-TimePoint MasterElection::quorum_confirmed(TimePoint now) const {
-  std::vector<TimePoint> shown;
+TimePoint MasterElection::quorum_confirmed_at(TimePoint now) const {
+  std::vector<TimePoint> confirmed;
   for (const auto& daemon : roster_) {
-    auto entry = shown_stamps_.find(daemon);
+    auto entry = returned_timestamps_.find(daemon);
     if (daemon == self_.address)
-      shown.push_back(now);
-    else if (entry != shown_stamps_.end())
-      shown.push_back(entry->second);
+      confirmed.push_back(now);
+    else if (entry != returned_timestamps_.end())
+      confirmed.push_back(entry->second);
+  }
+  if (phase_ != Phase::leading || confirmed.size() < quorum())
+    return long_ago;
+  std::sort(confirmed.begin(), confirmed.end(), [](TimePoint left, TimePoint right) { return right < left; });
+  return confirmed[quorum() - 1];
+}
+
+void MasterElection::on_message(const Address& from, const Message& message, TimePoint now) {
+  std::visit([&](const auto& received) { handle(from, received, now); }, message);
+}
+
+void MasterElection::handle(const Address& from, const PingRequest& request, TimePoint) {
+  if (request.sender.role == "edge")
+    add_peer(from);
+  departed_.erase(from);
+}
+
+void MasterElection::add_named_peers(const std::vector<DaemonEntry>& named) {
+  for (const auto& entry : named) {
+    if (entry.role != "edge" || entry.address == self_.address || peers_.count(entry.address) != 0)
+      continue;
+    add_peer(entry.address);
+    if (phase_ == Phase::pinging)
+      ping(entry.address);
   }
-  if (phase_ != Phase::leading || shown.size() < quorum())
-    return TimePoint{-1000000};
-  std::sort(shown.begin(), shown.end(), [](TimePoint a, TimePoint b) { return b < a; });
-  return shown[quorum() - 1];
-}
-
-bool MasterElection::on_message(const Address& from, const Message& message, TimePoint now) {
-  if (const auto* ping = std::get_if<PingRequest>(&message)) {
-    if (ping->sender.role == "edge")
-      learn(from);
-    left_.erase(from);
-    return false;  // the daemon answers with all it knows
+}
+
+// docs/election.md, "Responses kept fresh": peers are pinged again within a round, and the newest response counts.
+void MasterElection::handle(const Address& from, const PingResponse& response, TimePoint now) {
+  if (response.sender.role != "edge")
+    return;
+  add_peer(from);
+  add_named_peers(response.known_daemons);
+  if (phase_ != Phase::pinging || response.request_id != request_id_)
+    return;
+  reports_[from] = {response.master, response.version, response.response_timestamp};
+  refusing_.erase(from);
+  if (have_all_peers_reported())
+    end_round(now);
+}
+
+void MasterElection::handle(const Address& from, const JoinRequest& request, TimePoint now) {
+  add_peer(from);
+  if (phase_ == Phase::leading) {
+    followers_[from] = now;
+    outbound_.push_back({from, JoinResponse{request.request_id, true, term_, ""}});
+    return;
   }
-  if (const auto* response = std::get_if<PingResponse>(&message)) {
-    if (response->sender.role != "edge")
-      return false;
-    learn(from);
-    for (const auto& entry : response->known_daemons)
-      if (entry.role == "edge" && peers_.count(entry.address) == 0 && entry.address != self_.address) {
-        learn(entry.address);
-        if (phase_ == Phase::pinging)
-          out_.push_back({entry.address, PingRequest{ask_, self_, master_, version_}});
-      }
-    if (phase_ == Phase::pinging && response->request_id == ask_) {
-      answers_[from] = {response->master, response->version, response->response_timestamp};
-      refused_.erase(from);
-      if (has_heard_all())
-        end_round(now);
-    }
-    return false;
+  if (phase_ == Phase::following) {
+    outbound_.push_back({from, JoinResponse{request.request_id, false, term_, reason_following_another}});
+    return;
   }
-  if (const auto* join = std::get_if<JoinRequest>(&message)) {
-    learn(from);
-    if (phase_ == Phase::leading) {
-      followers_[from] = now;
-      out_.push_back({from, JoinResponse{join->request_id, true, term_, ""}});
-    } else if (phase_ == Phase::following) {
-      out_.push_back({from, JoinResponse{join->request_id, false, term_, "following another"}});
-    } else {
-      joins_[from] = {now, join->request_id, join->term, join->response_timestamp};
-      check_joins(now);
-    }
-    return true;
+  // Joins that come before this daemon is ranked first count as well.
+  pending_joins_[from] = {now, request.request_id, request.term, request.response_timestamp};
+  claim_if_quorum_joined(now);
+}
+
+void MasterElection::handle(const Address& from, const JoinResponse& response, TimePoint now) {
+  if (phase_ != Phase::joining || response.request_id != request_id_ || from != joining_)
+    return;
+  if (!response.granted || response.term < term_)
+    fail_join(now);
+  else
+    follow(from, response.term, now);
+}
+
+void MasterElection::handle(const Address& from, const LeaveNotice& notice, TimePoint now) {
+  departed_.insert(from);
+  reports_.erase(notice.sender.address);
+  peers_.erase(notice.sender.address);
+  followers_.erase(from);
+  if (from == master_)
+    abandon_master(now);
+  else if (phase_ == Phase::pinging)
+    begin_round(now);  // the responses so far may still name it
+}
+
+void MasterElection::handle(const Address& from, const Heartbeat& heartbeat, TimePoint now) {
+  bool is_leading = is_master();
+  if (is_leading) {
+    followers_[from] = now;
+    note_returned_timestamps(from, heartbeat, now);
   }
-  if (const auto* response = std::get_if<JoinResponse>(&message)) {
-    if (phase_ != Phase::joining || response->request_id != ask_ || from != joining_)
-      return true;
-    if (!response->granted || response->term < term_) {
-      ++counts_.joins_failed;
-      pause(now);
-      return true;
-    }
-    phase_ = Phase::following;
-    master_ = from;
-    term_ = response->term;
-    term_master_ = from;
-    master_heard_ = now;
-    heartbeat_next_ = now;
-    refuse_joins("following another");  // else they would wait out their join in vain
-    return true;
+  std::int64_t term = is_leading ? term_ : 0;
+  std::int64_t quorum_age_ms = is_leading ? (now - quorum_confirmed_at(now)).value : 0;
+  outbound_.push_back(
+      {from, HeartbeatResponse{term, is_leading, version_, now.value, heartbeat.sent_at, quorum_age_ms}});
+}
+
+void MasterElection::note_returned_timestamps(const Address& from, const Heartbeat& heartbeat, TimePoint now) {
+  if (heartbeat.term != term_)
+    return;
+  if (heartbeat.acknowledged_timestamp > 0) {
+    TimePoint& newest = acknowledged_timestamps_[from];
+    newest = std::max(newest, TimePoint{heartbeat.acknowledged_timestamp});
   }
-  if (const auto* leave = std::get_if<LeaveNotice>(&message)) {
-    left_.insert(from);
-    answers_.erase(leave->sender.address);
-    peers_.erase(leave->sender.address);
-    followers_.erase(from);
-    if (from == master_) {
-      master_ = Address{};
-      begin_round(now);
-    } else if (phase_ == Phase::pinging) {
-      begin_round(now);  // answers so far may still name it
-    }
-    return true;
+  TimePoint returned{heartbeat.master_timestamp};
+  if (heartbeat.master_timestamp > 0 && returned <= now) {
+    TimePoint& newest = returned_timestamps_[from];
+    newest = std::max(newest, returned);
   }
-  if (const auto* heartbeat = std::get_if<Heartbeat>(&message)) {
-    bool is_ours = phase_ == Phase::leading;
-    if (is_ours) {
-      followers_[from] = now;
-      TimePoint acknowledged{heartbeat->acknowledged_timestamp};
-      if (heartbeat->term == term_ && heartbeat->acknowledged_timestamp > 0 && acknowledgements_[from] < acknowledged)
-        acknowledgements_[from] = acknowledged;
-      TimePoint shown{heartbeat->master_timestamp};
-      if (heartbeat->term == term_ && heartbeat->master_timestamp > 0 && shown <= now && shown_stamps_[from] < shown)
-        shown_stamps_[from] = shown;
-    }
-    std::int64_t quorum_age = is_ours ? (now - quorum_confirmed(now)).value : 0;
-    out_.push_back(
-        {from, HeartbeatResponse{is_ours ? term_ : 0, is_ours, version_, now.value, heartbeat->sent_at, quorum_age}});
-    return false;  // the daemon reads the statuses in it
+}
+
+void MasterElection::handle(const Address& from, const HeartbeatResponse& response, TimePoint now) {
+  if (phase_ != Phase::following || from != master_)
+    return;
+  if (!response.from_master || response.term < term_) {  // its state still shows no master
+    abandon_master(now);
+    return;
   }
-  if (const auto* response = std::get_if<HeartbeatResponse>(&message)) {
-    if (phase_ != Phase::following || from != master_)
-      return true;
-    if (!response->from_master || response->term < term_) {  // the state still shows no master
-      master_ = Address{};
-      begin_round(now);
-      return true;
-    }
-    master_heard_ = now;
-    stamp_ = response->master_timestamp;
-    stamp_term_ = response->term;
-    // What an older map says is not confirmed by the master that has a newer one.
-    TimePoint confirmed{response->heartbeat_sent_at - response->quorum_age_ms};
-    if (response->heartbeat_sent_at > 0 && !(version_ < response->version) && master_confirmed_ < confirmed)
-      master_confirmed_ = confirmed;
-    return true;
+  master_heard_at_ = now;
+  master_timestamp_ = response.master_timestamp;
+  master_timestamp_term_ = response.term;
+  // A master that has a newer map than this daemon doesn't confirm this daemon's map.
+  if (response.heartbeat_sent_at > 0 && !(version_ < response.version)) {
+    TimePoint confirmed{response.heartbeat_sent_at - response.quorum_age_ms};
+    master_confirmed_at_ = std::max(master_confirmed_at_, confirmed);
   }
-  return false;
 }
 
 void MasterElection::on_timer(TimePoint now) {
+  bool is_phase_over = phase_ends_at_ <= now;
   switch (phase_) {
     case Phase::idle:
     case Phase::claiming:
       break;
     case Phase::pinging:
-      if (phase_end_ <= now) {
+      if (is_phase_over) {
         end_round(now);
-      } else if (ping_next_ <= now) {
-        ping_next_ = now + times_.ping_again;
-        ping_everyone();
+      } else if (next_ping_at_ <= now) {
+        next_ping_at_ = now + times_.ping_interval;
+        ping_all_peers();
       }
       break;
-    case Phase::pausing:
-      if (phase_end_ <= now)
+    case Phase::backing_off:
+      if (is_phase_over)
         begin_round(now);
       break;
     case Phase::awaiting_joins:
-      if (phase_end_ <= now) {
-        ++counts_.joins_failed;
-        refuse_joins("too few joins");
-        pause(now);
+      if (is_phase_over) {
+        refuse_joins(reason_too_few_joins);
+        fail_join(now);
       }
       break;
     case Phase::joining:
-      if (phase_end_ <= now) {
-        ++counts_.joins_failed;
-        pause(now);
-      }
+      if (is_phase_over)
+        fail_join(now);
       break;
     case Phase::following:
-      if (now - master_heard_ > times_.master_silence) {
-        master_ = Address{};  // from here on our pings and answers say that we find it down
-        begin_round(now);
-      }
+      if (now - master_heard_at_ > times_.master_timeout)
+        abandon_master(now);
       break;
-    case Phase::leading: {
-      std::size_t heard = 1;
-      for (const auto& [daemon, moment] : followers_)
-        if (is_eligible(daemon) && now - moment <= times_.master_silence)
-          ++heard;
-      if (heard >= quorum())
-        quorum_heard_ = now;
-      if (now - quorum_heard_ > times_.lonely_master)
-        step_down(now);
+    case Phase::leading:
+      check_quorum(now);
       break;
-    }
   }
 }
 
-std::vector<OutboundMessage> MasterElection::drain_outbound() { return std::exchange(out_, {}); }
+// docs/election.md, "The master steps down".
+void MasterElection::check_quorum(TimePoint now) {
+  std::size_t heard = 1;
+  for (const auto& [daemon, heard_at] : followers_)
+    if (is_eligible(daemon) && now - heard_at <= times_.master_timeout)
+      ++heard;
+  if (heard >= quorum())
+    quorum_heard_at_ = now;
+  if (now - quorum_heard_at_ > times_.quorum_timeout)
+    step_down(now);
+}
+
+std::vector<OutboundMessage> MasterElection::drain_outbound() { return std::exchange(outbound_, {}); }
 
 }  // namespace emberdale
