--- a/packages/control-plane/src/control_daemon.cpp
+++ b/packages/control-plane/src/control_daemon.cpp
@@ -146,7 +146,7 @@
   if (is_edge() && heartbeat_next_ <= now)
     send_heartbeat(now);
   hear_master(now);
-  slices_.forget_silent(now, Duration{10000});
+  slices_.remove_silent_subscribers(now, Duration{10000});
   if (is_edge())
     runner_health_monitor_.schedule_probes(placed_configuration(), live_edges(settings_.self.zone, now),
                                            election_.is_master(), now);
@@ -201,7 +201,7 @@
 
 // What the master does beside following none: collects what is in force, publishes, works edits out.
 void ControlDaemon::lead(TimePoint now) {
-  for (const auto& report : slices_.in_force(now))
+  for (const auto& report : slices_.subscriber_statuses(now))
     take_report(report, now);
   for (auto entry = in_force_.begin(); entry != in_force_.end();) {
     if (now - entry->second.second > Duration{15000})
--- a/packages/control-plane/src/control_directory.cpp
+++ b/packages/control-plane/src/control_directory.cpp
@@ -27,7 +27,7 @@
 std::map<Address, GatewayRow> ControlDaemon::fronts_of_map(const std::vector<DaemonStatus>& subscribers,
                                                            TimePoint now) const {
   std::map<Address, GatewayRow> rows;
-  if (now - slices_.master_heard() > map_trust)
+  if (now - slices_.master_heard_at() > map_trust)
     return rows;
   std::set<ZoneName> known_at_first_hand = zones_served_here_alone(subscribers, now);
   for (const auto& row : map_.gateways)
@@ -53,7 +53,7 @@
 
 // Who subscribes here is known at first hand; of the others the map tells.
 std::vector<GatewayRow> ControlDaemon::ready_fronts(TimePoint now) const {
-  std::vector<DaemonStatus> subscribers = slices_.in_force(now);
+  std::vector<DaemonStatus> subscribers = slices_.subscriber_statuses(now);
   std::map<Address, GatewayRow> rows = fronts_of_map(subscribers, now);
   for (const auto& report : subscribers) {
     const DaemonEntry& daemon = report.daemon;
--- a/packages/control-plane/src/control_maps.cpp
+++ b/packages/control-plane/src/control_maps.cpp
@@ -171,7 +171,7 @@
   heartbeat.version = map_.version;
   heartbeat.routing_table_revision = map_.routing_table_revision;
   heartbeat.runner_statuses = runner_health_monitor_.reports(now);
-  heartbeat.daemon_statuses = slices_.in_force(now);
+  heartbeat.daemon_statuses = slices_.subscriber_statuses(now);
   heartbeat.master_timestamp = election_.master_timestamp();
   heartbeat.sent_at = now.value;
   out_.push_back({election_.master(), std::move(heartbeat)});
--- a/packages/control-plane/src/control_membership.cpp
+++ b/packages/control-plane/src/control_membership.cpp
@@ -138,7 +138,7 @@
   lease_.begin(now);
   edits_.begin();
   note(now, "master", "term " + std::to_string(election_.term()));
-  warmup_shares_.begin(map_, election_.term() > 1, now);
+  warmup_shares_.begin_term(map_, election_.term() > 1, now);
   in_force_.clear();
   follower_versions_.clear();
   follower_routing_tables_.clear();
--- a/packages/control-plane/src/control_messages.cpp
+++ b/packages/control-plane/src/control_messages.cpp
@@ -219,7 +219,7 @@
     note(now, "resumed", "after " + std::to_string((now - active_at_).value) + " ms");
   }
   active_at_ = now;
-  slices_.set_held(is_resuming(now));
+  slices_.set_paused(is_resuming(now));
 }
 
 bool ControlDaemon::is_resuming(TimePoint now) const {
@@ -228,9 +228,9 @@
 
 void ControlDaemon::hear_master(TimePoint now) {
   if (!election_.is_master())
-    slices_.hear_master(election_.master_confirmed_at());
+    slices_.note_master_heard(election_.master_confirmed_at());
   else if (map_.version.term == election_.term())
-    slices_.hear_master(election_.quorum_confirmed_at(now));
+    slices_.note_master_heard(election_.quorum_confirmed_at(now));
 }
 
 void ControlDaemon::synced(std::int64_t token, TimePoint now) {
--- a/packages/placement-map/include/emberdale/placement_map.hpp
+++ b/packages/placement-map/include/emberdale/placement_map.hpp
@@ -1,4 +1,5 @@
-// The placement map as the master works it out, and who is home for which service in a zone.
+// The placement map: which runner takes which requests, as the master computes it from the configuration in the
+// register and the statuses of the runners. Pure functions, without I/O, clock or threads.
 #pragma once
 #include <functional>
 #include <map>
@@ -10,27 +11,42 @@
 
 namespace emberdale {
 
-// Ranks names for a key so that every daemon finds the same order, and one name less moves only
-// its own share. Example: rendezvous_rank("pool:m", {"b", "a"}).front() is the home.
+// Rendezvous hashing (highest random weight): ranks names for a key so that all daemons find the same order, and the
+// loss of a name only moves the keys that it was first for. The first name is the owner of the key.
+// Example: rendezvous_rank("pool:m", {"b", "a"}).front()
 std::vector<std::string> rendezvous_rank(const std::string& key, std::vector<std::string> names);
 
-// Shares out what a cold runner bears among the daemons of its region, or among all.
+// Divides the allowance of a runner that is warming up among data daemons: `local` are those of its own region, `all`
+// those of every region.
 using WarmupShareFunction = std::function<std::vector<WarmupGrant>(
-    const RunnerRow&, const std::vector<std::string>& near, const std::vector<std::string>& all)>;
-
-// Example: compute_map(state, configuration, statuses, gateways, live_edges, MapVersion{3, 1}).runners
+    const RunnerRow&, const std::vector<std::string>& local, const std::vector<std::string>& all)>;
+
+// Computes the map of one version. The routing table is left out: the caller adds its rows.
+//  statuses   of the runners, from health probes; a runner without one counts as down
+//  gateways   data daemons that were heard lately
+//  edges      control daemons that follow the master
+//  share      divides the allowance of runners that are warming up; split_allowance() among the daemons of the
+//             runner's region, or of all regions if it has none, if this is null
 PlacementMap compute_map(const FleetState& state, const Configuration& configuration,
                          const std::map<RunnerName, RunnerStatus>& statuses, const std::vector<GatewayRow>& gateways,
                          const std::vector<GatewayRow>& edges, const MapVersion& version,
                          const WarmupShareFunction& share = nullptr);
 
-// Splits what a cold runner bears among the daemons that may send to it; the sum never exceeds it.
-// Example: split_allowance("r1", 2, {"d1", "d2", "d3"}) gives two daemons one call each.
+// Divides an allowance (requests a second) evenly among daemons; the sum of the grants is the allowance. The remainder
+// goes to the daemons that rank first for the runner.
+// Example: split_allowance("r1", 2, {"d1", "d2", "d3"}) gives two daemons one request each.
 std::vector<WarmupGrant> split_allowance(const std::string& runner, std::int64_t allowance,
                                          const std::vector<std::string>& daemons);
 
-// How much two maps differ, versions aside. Example: compare_maps(old, fresh) == MapChange::load
-enum class MapChange { none, load, placement };
+// How much two maps differ.
+enum class MapChange {
+  none,
+  load,      // only loads of runners and regions
+  placement  // anything else
+};
+
+// Compares two maps by all but their versions and routing tables; a change of the routing table shows in
+// PlacementMap::routing_table_revision.
 MapChange compare_maps(const PlacementMap& before, const PlacementMap& after);
 
 }  // namespace emberdale
--- a/packages/placement-map/include/emberdale/placement_slices.hpp
+++ b/packages/placement-map/include/emberdale/placement_slices.hpp
@@ -1,83 +1,120 @@
-// Slices of the map: what a home daemon feeds its subscribers, and what a subscriber holds.
+// Slices of the placement map: the rows of one topic, sent as a snapshot and then as deltas.
+//
+// A topic is the plans topic, or that of one pool. The control daemon that owns a topic's shard publishes it
+// (SlicePublisher), each data daemon that subscribes keeps a copy (SliceReplica). Without I/O, clock or threads.
 #pragma once
 #include <algorithm>
 #include <map>
 #include <memory>
 #include <string>
+#include <tuple>
 #include <vector>
 
 #include "emberdale/messages.hpp"
 
 namespace emberdale {
 
+// The topic with all but the runners: plans, routing table, gateways, master, control daemons and regions.
 inline constexpr const char* plans_topic = "plans";
-// Example: pool_topic(PoolName{"models"}) == "pool:models"
+// The topic with the runners of a pool. Example: pool_topic(PoolName{"models"}) == "pool:models"
 std::string pool_topic(const PoolName& pool);
 
-// The rows of one topic, by key. Example: slice_rows(map, "plans")
-std::map<std::string, std::string> slice_rows(const PlacementMap& map, const std::string& topic);
+// Encoded rows by key. A key is the kind of the row, a slash and its name, such as "runner/r1".
+using SliceRows = std::map<std::string, std::string>;
+// The rows of one topic of a map. Example: slice_rows(map, plans_topic)
+SliceRows slice_rows(const PlacementMap& map, const std::string& topic);
 
-// The home's side. Example:
-//   SlicePublisher publisher; publisher.on_map(map, now); publisher.on_subscribe(from, subscribe, now);
-//   for (auto& sending : publisher.drain_outbound()) links.send(sending.to, sending.message);
+// The publishing side, at a control daemon: sends each subscriber the topics that it asked for.
+// Invariant: a subscriber is never sent a version older than the one it has reported or been sent.
+// Example:
+//   SlicePublisher publisher;
+//   publisher.on_map(map, now);
+//   publisher.on_subscribe(from, subscribe, now);
+//   for (auto& outbound : publisher.drain_outbound())
+//     connections.send(outbound.to, outbound.message);
 class SlicePublisher {
  public:
+  // Takes a new map and sends all subscribers what has changed in their topics.
   void on_map(const PlacementMap& map, TimePoint now);
-  // When a quorum last surely followed the master whose map this is: subscribers are told how long ago that was.
-  void hear_master(TimePoint at) { master_heard_ = std::max(master_heard_, at); }
-  TimePoint master_heard() const { return master_heard_; }
+  // Notes a moment at which a quorum surely followed the master whose map this is. Each update says how long ago that
+  // was, which bounds the lease that a subscriber serves by. Older moments are ignored.
+  void note_master_heard(TimePoint at) { master_heard_at_ = std::max(master_heard_at_, at); }
+  // The newest such moment; long ago if there is none.
+  TimePoint master_heard_at() const { return master_heard_at_; }
+  // Adds or refreshes a subscription and sends what the subscriber lacks of its topics. The topics of an earlier
+  // subscription that are not named any more end.
   void on_subscribe(const Address& from, const Subscribe& subscribe, TimePoint now);
-  // Who subscribes and what they say is in force, with the age of that word.
-  std::vector<DaemonStatus> in_force(TimePoint now) const;
-  // While held no subscriber is fed. Example: publisher.set_held(true)
-  void set_held(bool is_held) { is_held_ = is_held; }
-  void forget_silent(TimePoint now, Duration silence);
+  // What each subscriber has reported as its applied configuration, with the age of that report.
+  std::vector<DaemonStatus> subscriber_statuses(TimePoint now) const;
+  // While paused nothing is sent to subscribers, and what they report is still noted.
+  void set_paused(bool is_paused) { is_paused_ = is_paused; }
+  // Removes the subscribers that have not been heard for longer than the timeout.
+  void remove_silent_subscribers(TimePoint now, Duration timeout);
+  // The messages to send, in order.
   std::vector<OutboundMessage> drain_outbound();
+  // How many rows were sent since the start.
   std::int64_t rows_sent() const { return rows_sent_; }
 
  private:
-  using Rows = std::map<std::string, std::string>;
-  struct Topic {
-    MapVersion sent;
-    std::shared_ptr<const Rows> rows;  // as sent last, shared by all who have them
+  // What a subscriber was last sent of one topic.
+  struct SentTopic {
+    MapVersion version;
+    std::shared_ptr<const SliceRows> rows;  // shared by all subscribers that were sent the same
   };
-  struct Difference {
-    std::vector<SliceRow> rows;
-    std::vector<std::string> gone;
-  };
-  const Difference& difference(const std::shared_ptr<const Rows>& from, const std::shared_ptr<const Rows>& to);
   struct Subscriber {
-    DaemonStatus report;
-    TimePoint heard;
-    std::int64_t stamp = 0;  // of its clock, the newest seen
-    std::map<std::string, Topic> topics;
+    DaemonStatus status;
+    TimePoint heard_at;
+    std::int64_t subscribe_sent_at = 0;  // on the subscriber's clock; updates return it
+    std::map<std::string, SentTopic> topics;
+  };
+  // What turns one set of rows into another.
+  struct Delta {
+    std::vector<SliceRow> changed_rows;
+    std::vector<std::string> removed_keys;
+  };
+  // Identifies two sets of rows by their addresses; only used while one event is handled.
+  struct DeltaKey {
+    const SliceRows* from;
+    const SliceRows* to;
+    friend bool operator<(const DeltaKey& left, const DeltaKey& right) {
+      return std::tie(left.from, left.to) < std::tie(right.from, right.to);
+    }
   };
-  void feed(const Address& to, std::int64_t stamp, const std::string& name, Topic& topic, const MapVersion& known,
-            TimePoint now);
+
+  void send_topic(const Address& to, std::int64_t subscribe_sent_at, const std::string& name, SentTopic& sent,
+                  const MapVersion& known, TimePoint now);
+  const std::shared_ptr<const SliceRows>& current_rows(const std::string& topic);
+  const Delta& find_delta(const std::shared_ptr<const SliceRows>& from, const std::shared_ptr<const SliceRows>& to);
 
   PlacementMap map_;
-  bool is_held_ = false;
-  TimePoint master_heard_{-1000000};
+  bool is_paused_ = false;
+  TimePoint master_heard_at_{-1000000};
   std::map<Address, Subscriber> subscribers_;
-  std::map<std::string, std::shared_ptr<const Rows>> rows_;                // of the map, cut once
-  std::map<std::pair<const Rows*, const Rows*>, Difference> differences_;  // worked out once for all subscribers
-  std::vector<OutboundMessage> out_;
+  std::map<std::string, std::shared_ptr<const SliceRows>> rows_by_topic_;  // of map_, made when first asked for
+  std::map<DeltaKey, Delta> deltas_;  // computed once for all subscribers, kept only while one event is handled
+  std::vector<OutboundMessage> outbound_;
   std::int64_t rows_sent_ = 0;
 };
 
-// The subscriber's side of one topic: versions never go back, and a change fits only its base.
-// Example: if (holder.apply(news)) use(holder.rows());
+// The subscriber's copy of one topic.
+// Invariant: its version never goes back, and a delta is applied only to the version that it was made from.
+// Example: if (replica.apply(update)) use(replica.rows());
 class SliceReplica {
  public:
+  // Applies an update and says whether it brought anything new.
   bool apply(const SliceUpdate& update);
+  // The version of the map that the rows are of; MapVersion{} before the first snapshot.
   const MapVersion& version() const { return version_; }
+  // The revision of the configuration that this map was computed from.
   std::int64_t config_revision() const { return config_revision_; }
-  const std::map<std::string, std::string>& rows() const { return rows_; }
+  const SliceRows& rows() const { return rows_; }
 
  private:
+  bool is_applicable(const SliceUpdate& update) const;
+
   MapVersion version_;
   std::int64_t config_revision_ = 0;
-  std::map<std::string, std::string> rows_;
+  SliceRows rows_;
 };
 
 }  // namespace emberdale
--- a/packages/placement-map/src/placement_map.cpp
+++ b/packages/placement-map/src/placement_map.cpp
@@ -7,10 +7,128 @@
 
 namespace emberdale {
 
+namespace {
+
+// From this load on, in percent of a region's capacity, requests may go to other regions.
+constexpr std::int64_t spill_load_percent = 75;
+
+std::set<ZoneName> find_evacuated_zones(const Configuration& configuration) {
+  std::set<ZoneName> zones;
+  for (const auto& order : configuration.orders)
+    if (order.is_evacuated)
+      zones.insert(order.zone);
+  return zones;
+}
+
+std::vector<PlanRow> make_plan_rows(const FleetState& state) {
+  std::vector<PlanRow> rows;
+  for (const auto& resource : state.resources)
+    if (resource.kind == plans_kind)
+      rows.push_back({PlanName{resource.name}, resource.version, resource.body});
+  return rows;
+}
+
+std::vector<GatewayRow> remove_gateways_of(const std::set<ZoneName>& zones, const std::vector<GatewayRow>& gateways) {
+  std::vector<GatewayRow> rest;
+  for (const auto& gateway : gateways)
+    if (zones.count(gateway.zone) == 0)
+      rest.push_back(gateway);
+  return rest;
+}
+
+// `status` is null for a runner that has not been probed.
+std::string status_in_map(const RunnerEntry& runner, const RunnerStatus* status, bool is_evacuated) {
+  if (runner.is_leaving)
+    return "leaving";
+  if (is_evacuated)
+    return "emptied";
+  if (status == nullptr || !status->is_reachable)
+    return "down";
+  return status->is_warming_up ? "cold" : "warm";
+}
+
+RunnerRow make_runner_row(const RunnerEntry& runner, const RunnerStatus* status, bool is_evacuated) {
+  RunnerRow row;
+  row.name = runner.name;
+  row.http_address = runner.http;
+  row.pool = runner.pool;
+  row.zone = runner.zone;
+  row.region = runner.region;
+  row.seal_key = runner.seal_key;
+  row.status = status_in_map(runner, status, is_evacuated);
+  if (status != nullptr) {
+    row.incarnation = status->incarnation;
+    row.capacity = status->capacity;
+    row.load = status->load;
+    row.allowance = status->allowance;
+  }
+  return row;
+}
+
+std::vector<WarmupGrant> make_warmup_grants(const RunnerRow& row, const std::vector<GatewayRow>& gateways,
+                                            const WarmupShareFunction& share) {
+  std::vector<std::string> local;
+  std::vector<std::string> all;
+  for (const auto& gateway : gateways) {
+    all.push_back(gateway.daemon.text);
+    if (gateway.region == row.region)
+      local.push_back(gateway.daemon.text);
+  }
+  if (share)
+    return share(row, local, all);
+  return split_allowance(row.name.text, row.allowance, local.empty() ? all : local);
+}
+
+void add_to_region(const RunnerRow& row, RegionRow& region) {
+  region.pool = row.pool;
+  region.region = row.region;
+  bool is_warm = row.status == "warm";
+  bool is_warming_up = row.status == "cold";
+  if (is_warm)
+    region.capacity += row.capacity;
+  if (is_warming_up)
+    region.capacity += row.allowance;
+  if (is_warm || is_warming_up)
+    region.load += row.load;
+}
+
+bool should_spill(const RegionRow& region) {
+  return region.capacity == 0 || region.load * 100 >= region.capacity * spill_load_percent;
+}
+
+std::vector<RegionRow> make_region_rows(const std::vector<RunnerRow>& runners) {
+  std::map<PoolName, std::map<RegionName, RegionRow>> regions_by_pool;
+  for (const auto& row : runners)
+    add_to_region(row, regions_by_pool[row.pool][row.region]);
+  std::vector<RegionRow> rows;
+  for (auto& [pool, regions] : regions_by_pool)
+    for (auto& [name, region] : regions) {
+      region.spills = should_spill(region);
+      rows.push_back(region);
+    }
+  return rows;
+}
+
+// The bytes by which two maps are compared.
+std::string encode_for_comparison(PlacementMap map, bool has_load) {
+  map.version = MapVersion{};
+  map.routing_table.clear();
+  if (!has_load) {
+    for (auto& runner : map.runners)
+      runner.load = 0;
+    for (auto& region : map.regions)
+      region.load = 0;
+  }
+  return encode_message(Message{PlacementUpdate{std::move(map), true}});
+}
+
+}  // namespace
+
 std::vector<std::string> rendezvous_rank(const std::string& key, std::vector<std::string> names) {
-  std::sort(names.begin(), names.end(), [&](const std::string& a, const std::string& b) {
-    auto weight_a = stable_hash(key + "\n" + a), weight_b = stable_hash(key + "\n" + b);
-    return weight_a == weight_b ? a < b : weight_a > weight_b;
+  std::sort(names.begin(), names.end(), [&](const std::string& left, const std::string& right) {
+    std::uint64_t left_weight = stable_hash(key + "\n" + left);
+    std::uint64_t right_weight = stable_hash(key + "\n" + right);
+    return left_weight == right_weight ? left < right : left_weight > right_weight;
   });
   return names;
 }
@@ -20,12 +138,14 @@
   std::vector<WarmupGrant> grants;
   if (daemons.empty() || allowance <= 0)
     return grants;
-  auto ranked = rendezvous_rank(runner, daemons);
+  std::vector<std::string> ranked = rendezvous_rank(runner, daemons);
   auto count = static_cast<std::int64_t>(ranked.size());
-  for (std::int64_t i = 0; i < count; ++i) {
-    std::int64_t calls = allowance / count + (i < allowance % count ? 1 : 0);
-    if (calls > 0)
-      grants.push_back({Address{ranked[static_cast<std::size_t>(i)]}, calls});
+  std::int64_t remainder = allowance % count;
+  for (const auto& daemon : ranked) {
+    std::int64_t requests = allowance / count + (remainder > 0 ? 1 : 0);
+    --remainder;
+    if (requests > 0)
+      grants.push_back({Address{daemon}, requests});
   }
   return grants;
 }
@@ -34,91 +154,32 @@
                          const std::map<RunnerName, RunnerStatus>& statuses, const std::vector<GatewayRow>& gateways,
                          const std::vector<GatewayRow>& edges, const MapVersion& version,
                          const WarmupShareFunction& share) {
+  std::set<ZoneName> evacuated_zones = find_evacuated_zones(configuration);
   PlacementMap map;
-  map.edges = edges;
-  map.master = state.master;
   map.version = version;
   map.config_revision = state.config_revision;
-  std::set<ZoneName> emptied;
-  for (const auto& order : configuration.orders)
-    if (order.is_evacuated)
-      emptied.insert(order.zone);
-  map.evacuated_zones.assign(emptied.begin(), emptied.end());
-  for (const auto& resource : state.resources)
-    if (resource.kind == plans_kind)
-      map.plans.push_back({PlanName{resource.name}, resource.version, resource.body});
-  for (const auto& gateway : gateways)
-    if (emptied.count(gateway.zone) == 0)
-      map.gateways.push_back(gateway);
-  std::map<std::pair<PoolName, RegionName>, RegionRow> regions;
+  map.master = state.master;
+  map.edges = edges;
+  map.evacuated_zones.assign(evacuated_zones.begin(), evacuated_zones.end());
+  map.plans = make_plan_rows(state);
+  map.gateways = remove_gateways_of(evacuated_zones, gateways);
   for (const auto& runner : configuration.runners) {
-    RunnerRow row;
-    row.name = runner.name;
-    row.http_address = runner.http;
-    row.pool = runner.pool;
-    row.zone = runner.zone;
-    row.region = runner.region;
-    row.seal_key = runner.seal_key;
     auto status = statuses.find(runner.name);
-    bool is_known = status != statuses.end();
-    if (is_known) {
-      row.incarnation = status->second.incarnation;
-      row.capacity = status->second.capacity;
-      row.load = status->second.load;
-      row.allowance = status->second.allowance;
-    }
-    if (runner.is_leaving)
-      row.status = "leaving";
-    else if (emptied.count(runner.zone) != 0)
-      row.status = "emptied";
-    else if (!is_known || !status->second.is_reachable)
-      row.status = "down";
-    else
-      row.status = status->second.is_warming_up ? "cold" : "warm";
-    if (row.status == "cold") {
-      // Daemons of the runner's own region share what it bears; without one, those of the others.
-      std::vector<std::string> near, all;
-      for (const auto& gateway : gateways) {
-        all.push_back(gateway.daemon.text);
-        if (gateway.region == runner.region)
-          near.push_back(gateway.daemon.text);
-      }
-      row.warmup_grants =
-          share ? share(row, near, all) : split_allowance(row.name.text, row.allowance, near.empty() ? all : near);
-    }
-    auto& region = regions[{runner.pool, runner.region}];
-    region.pool = runner.pool;
-    region.region = runner.region;
-    if (row.status == "warm")
-      region.capacity += row.capacity;
+    RunnerRow row = make_runner_row(runner, status == statuses.end() ? nullptr : &status->second,
+                                    evacuated_zones.count(runner.zone) != 0);
     if (row.status == "cold")
-      region.capacity += row.allowance;
-    if (row.status == "warm" || row.status == "cold")
-      region.load += row.load;
+      row.warmup_grants = make_warmup_grants(row, gateways, share);
     map.runners.push_back(std::move(row));
   }
-  for (auto& [where, region] : regions) {
-    region.spills = region.capacity == 0 || region.load * 100 >= region.capacity * 75;
-    map.regions.push_back(region);
-  }
+  map.regions = make_region_rows(map.runners);
   return map;
 }
 
 MapChange compare_maps(const PlacementMap& before, const PlacementMap& after) {
-  auto bare = [](PlacementMap map, bool has_load) {
-    map.version = MapVersion{};
-    map.routing_table.clear();  // traffic_of tells of it
-    if (!has_load) {
-      for (auto& runner : map.runners)
-        runner.load = 0;
-      for (auto& region : map.regions)
-        region.load = 0;
-    }
-    return encode_message(Message{PlacementUpdate{std::move(map), true}});
-  };
-  if (bare(before, false) != bare(after, false))
+  if (encode_for_comparison(before, false) != encode_for_comparison(after, false))
     return MapChange::placement;
-  return bare(before, true) == bare(after, true) ? MapChange::none : MapChange::load;
+  bool is_equal = encode_for_comparison(before, true) == encode_for_comparison(after, true);
+  return is_equal ? MapChange::none : MapChange::load;
 }
 
 }  // namespace emberdale
