--- a/packages/maintenance-windows/tests/maintenance_windows_test.cpp
+++ b/packages/maintenance-windows/tests/maintenance_windows_test.cpp
@@ -1,12 +1,14 @@
+// Tests of reading maintenance windows from calendars.
 #include "emberdale/maintenance_windows.hpp"
-#include "emberdale/spoiled_text.hpp"
 
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 
-using namespace emberdale;
+#include "emberdale/spoiled_text.hpp"
 
+namespace emberdale {
 namespace {
+
 std::string calendar(const std::string& event) {
   return "BEGIN:VCALENDAR\r\nVERSION:2.0\r\nPRODID:-//test//"
          "EN\r\nBEGIN:VEVENT\r\nUID:one\r\nDTSTAMP:20261201T000000Z\r\n" +
@@ -19,7 +21,6 @@
     list.push_back(show_utc(window.from));
   return list;
 }
-}  // namespace
 
 TEST(MaintenanceWindows, ReadsUtcTimes) {
   std::vector<Finding> findings;
@@ -31,7 +32,7 @@
   EXPECT_EQ(windows["b"][0].until - windows["b"][0].from, 9000);
 }
 
-TEST(MaintenanceWindows, RecurrenceKeepsTheLocalHourAcrossSummerTimeAndLeavesExceptionsOut) {
+TEST(MaintenanceWindows, RecurrenceKeepsTheLocalHourAcrossDaylightSavingTimeAndLeavesExceptionsOut) {
   std::vector<Finding> findings;
   auto windows = read_calendar(
       "f",
@@ -47,14 +48,14 @@
   EXPECT_EQ(list[2], "2026-04-05T00:00:00Z");
 }
 
-TEST(MaintenanceWindows, WhatIsWrongIsRefusedWithItsPlace) {
+TEST(MaintenanceWindows, ErrorsNameTheLineOfTheEvent) {
   for (const std::string event :
-       {"LOCATION:b\r\nDTSTART:20260310T010000\r\nDTEND:20260310T020000\r\n",  // no zone of time
+       {"LOCATION:b\r\nDTSTART:20260310T010000\r\nDTEND:20260310T020000\r\n",  // no time zone
         "LOCATION:b\r\nDTSTART;TZID=Mars/Olympus:20260310T010000\r\nDTEND;TZID=Mars/Olympus:20260310T020000\r\n",
         "LOCATION:b\r\nDTSTART;VALUE=DATE:20260310\r\nDTEND;VALUE=DATE:20260311\r\n",  // a whole day
         "LOCATION:b\r\nDTSTART:20260310T010000Z\r\nDTEND:20260310T003000Z\r\n",        // ends before it begins
         "LOCATION:b\r\nDTSTART:nonsense\r\nDTEND:20260310T003000Z\r\n", "LOCATION:b\r\nDTEND:20260310T003000Z\r\n",
-        "DTSTART:20260310T010000Z\r\nDTEND:20260310T020000Z\r\n"}) {  // no zone named
+        "DTSTART:20260310T010000Z\r\nDTEND:20260310T020000Z\r\n"}) {  // no LOCATION
     std::vector<Finding> findings;
     read_calendar("f", calendar(event), from, until, findings);
     ASSERT_TRUE(has_errors(findings)) << event;
@@ -65,7 +66,7 @@
   EXPECT_TRUE(has_errors(findings));
 }
 
-TEST(MaintenanceWindows, NoCalendarFromOutsideBringsItDown) {
+TEST(MaintenanceWindows, NoMalformedCalendarCrashesIt) {
   const std::string sound = calendar(
       "LOCATION:c\r\nDTSTART;TZID=Europe/Berlin:20260315T020000\r\nDURATION:PT1H\r\nRRULE:FREQ=WEEKLY;COUNT=4\r\n"
       "EXDATE;TZID=Europe/Berlin:20260322T020000\r\n");
@@ -76,3 +77,6 @@
         RC_ASSERT(window.from < window.until);
   }));
 }
+
+}  // namespace
+}  // namespace emberdale
--- a/packages/runner-seal/src/runner_seal.cpp
+++ b/packages/runner-seal/src/runner_seal.cpp
@@ -3,8 +3,52 @@
 #include <openssl/evp.h>
 #include <openssl/hmac.h>
 
+#include <algorithm>
+
 namespace emberdale {
 
+namespace {
+
+constexpr const char* seal_event = "sealed";
+
+std::string to_hexadecimal(const unsigned char* bytes, std::size_t size) {
+  static constexpr char digits[] = "0123456789abcdef";
+  std::string text;
+  for (std::size_t i = 0; i < size; ++i) {
+    text += digits[bytes[i] >> 4];
+    text += digits[bytes[i] & 15];
+  }
+  return text;
+}
+
+bool has_prefix(const std::string& text, const std::string& prefix) { return text.rfind(prefix, 0) == 0; }
+
+void add_line(const std::string& line, StreamEvent& event) {
+  static const std::string event_field = "event: ";
+  static const std::string id_field = "id: ";
+  static const std::string data_field = "data: ";
+  if (has_prefix(line, event_field))
+    event.event = line.substr(event_field.size());
+  if (has_prefix(line, id_field))
+    event.id = line.substr(id_field.size());
+  if (has_prefix(line, data_field))
+    event.data += (event.data.empty() ? "" : "\n") + line.substr(data_field.size());
+}
+
+// The event of some lines, of which the last has no newline.
+StreamEvent read_event(const std::string& lines) {
+  StreamEvent event;
+  std::size_t start = 0;
+  while (start < lines.size()) {
+    std::size_t end = std::min(lines.find('\n', start), lines.size());
+    add_line(lines.substr(start, end - start), event);
+    start = end + 1;
+  }
+  return event;
+}
+
+}  // namespace
+
 std::string seal_of(const std::string& key, const std::string& call, const std::string& runner,
                     std::int64_t incarnation, const std::string& body) {
   std::string text = call + "\n" + runner + "\n" + std::to_string(incarnation) + "\n" + body;
@@ -12,35 +56,17 @@
   unsigned int size = 0;
   HMAC(EVP_sha256(), key.data(), static_cast<int>(key.size()), reinterpret_cast<const unsigned char*>(text.data()),
        text.size(), digest, &size);
-  static const char* digits = "0123456789abcdef";
-  std::string hex;
-  for (unsigned int i = 0; i < size; ++i) {
-    hex += digits[digest[i] >> 4];
-    hex += digits[digest[i] & 15];
-  }
-  return hex;
+  return to_hexadecimal(digest, size);
 }
 
 std::vector<StreamEvent> EventCutter::feed(const std::string& bytes) {
+  static const std::string end_of_event = "\n\n";
   rest_ += bytes;
   std::vector<StreamEvent> events;
   std::size_t end = 0;
-  while ((end = rest_.find("\n\n")) != std::string::npos) {
-    StreamEvent event;
-    std::size_t start = 0;
-    while (start < end) {
-      std::size_t stop = std::min(rest_.find('\n', start), end);
-      std::string line = rest_.substr(start, stop - start);
-      if (line.rfind("event: ", 0) == 0)
-        event.event = line.substr(7);
-      if (line.rfind("id: ", 0) == 0)
-        event.id = line.substr(4);
-      if (line.rfind("data: ", 0) == 0)
-        event.data += (event.data.empty() ? "" : "\n") + line.substr(6);
-      start = stop + 1;
-    }
-    events.push_back(std::move(event));
-    rest_.erase(0, end + 2);
+  while ((end = rest_.find(end_of_event)) != std::string::npos) {
+    events.push_back(read_event(rest_.substr(0, end)));
+    rest_.erase(0, end + end_of_event.size());
   }
   return events;
 }
@@ -63,21 +89,24 @@
 StreamCheck::Step StreamCheck::take(const StreamEvent& event) {
   if (is_over_)
     return fail("an event after the end");
-  if (event.event == "sealed") {
-    if (event.id != std::to_string(pieces_ + 1))
-      return fail("the end is not numbered after the last piece");
-    if (event.data != seal_of(key_, call_, runner_, incarnation_, text_))
-      return fail("the seal does not fit the pieces");
-    is_over_ = true;
-    return Step::sealed;
-  }
+  if (event.event == seal_event)
+    return take_seal(event);
   if (!event.event.empty())
     return fail("the runner broke off: " + event.data);
-  if (event.id != std::to_string(pieces_ + 1))
+  if (event.id != next_id())
     return fail("piece '" + event.id + "' after piece " + std::to_string(pieces_));
   ++pieces_;
-  text_ += event.data + "\n";
+  sealed_text_ += event.data + "\n";
   return Step::piece;
 }
 
+StreamCheck::Step StreamCheck::take_seal(const StreamEvent& event) {
+  if (event.id != next_id())
+    return fail("the end is not numbered after the last piece");
+  if (event.data != seal_of(key_, call_, runner_, incarnation_, sealed_text_))
+    return fail("the seal does not fit the pieces");
+  is_over_ = true;
+  return Step::sealed;
+}
+
 }  // namespace emberdale
--- a/packages/runner-seal/tests/runner_seal_test.cpp
+++ b/packages/runner-seal/tests/runner_seal_test.cpp
@@ -1,10 +1,14 @@
+// Tests of the seal of a response and of the events of a streamed one.
 #include "emberdale/runner_seal.hpp"
-#include "emberdale/spoiled_text.hpp"
 
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 
-using namespace emberdale;
+#include "emberdale/spoiled_text.hpp"
+
+namespace emberdale {
+namespace {
+
 using Step = StreamCheck::Step;
 
 TEST(RunnerSeal, IsBoundToCallRunnerIncarnationAndBody) {
@@ -17,7 +21,7 @@
   EXPECT_NE(seal, seal_of("k", "c", "r", 1, "bodx"));
 }
 
-TEST(RunnerSeal, AStreamThatSkipsRepeatsSplicesOrEndsFalselyIsBroken) {
+TEST(RunnerSeal, AStreamThatSkipsRepeatsReplacesOrEndsEarlyIsBroken) {
   auto seal = [](const std::string& text) {
     return seal_of("k", "c", "r", 1, text);
   };
@@ -33,12 +37,12 @@
   EXPECT_EQ(run({one, two, {"sealed", "3", seal("a\nb\n")}}), Step::sealed);
   EXPECT_EQ(run({one, three}), Step::broken);                                            // skips
   EXPECT_EQ(run({one, one}), Step::broken);                                              // repeats
-  EXPECT_EQ(run({one, {"", "2", "x"}, {"sealed", "3", seal("a\nb\n")}}), Step::broken);  // splices
+  EXPECT_EQ(run({one, {"", "2", "x"}, {"sealed", "3", seal("a\nb\n")}}), Step::broken);  // replaces
   EXPECT_EQ(run({one, {"sealed", "2", seal("a\nb\n")}}), Step::broken);                  // ends early
   EXPECT_EQ(run({one, {"error", "", "gone"}}), Step::broken);
 }
 
-TEST(RunnerSeal, EventsAreCutWhereverTheBytesAreSplit) {
+TEST(RunnerSeal, EventsAreTheSameWhereverTheBytesAreSplit) {
   std::string text = event_text({"", "1", "a"}) + event_text({"sealed", "2", "s"});
   for (std::size_t cut = 0; cut <= text.size(); ++cut) {
     EventCutter cutter;
@@ -51,7 +55,7 @@
   }
 }
 
-TEST(RunnerSeal, NoStreamFromOutsideBringsItDownAndNoSpoiledOneEndsAsSealed) {
+TEST(RunnerSeal, NoMalformedStreamCrashesItOrPassesAsSealed) {
   std::string text, whole;
   for (int i = 1; i <= 4; ++i) {
     std::string data = "piece " + std::to_string(i);
@@ -81,3 +85,6 @@
       RC_ASSERT(taken == text);
   }));
 }
+
+}  // namespace
+}  // namespace emberdale
