--- a/packages/control-plane/src/control_interface.cpp
+++ b/packages/control-plane/src/control_interface.cpp
@@ -176,7 +176,7 @@
         return answer_reason(request, 400, R"(the body must be {"fleet": NAME, "cores": [IP:PORT, ...]})");
       std::vector<Address> cores;
       for (const auto& core : wish["cores"]) {
-        if (!core.is_string() || !split_address(core.get<std::string>()))
+        if (!core.is_string() || !parse_socket_address(core.get<std::string>()).ok())
           return answer_reason(request, 400, "a core address must be IP:PORT");
         cores.push_back({core.get<std::string>()});
       }
@@ -192,7 +192,7 @@
     if (is_path({"v1", "fleet", "replace-core"}) && method == methods::POST) {
       Json wish = Json::parse(body, nullptr, false);
       if (!wish.is_object() || !wish.value("old", Json()).is_string() || !wish.value("new", Json()).is_string() ||
-          !split_address(wish["new"].get<std::string>()))
+          !parse_socket_address(wish["new"].get<std::string>()).ok())
         return answer_reason(request, 400, R"(the body must be {"old": IP:PORT, "new": IP:PORT})");
       return post(
           [this, request, old_core = wish["old"].get<std::string>(), new_core = wish["new"].get<std::string>()] {
--- a/packages/control-plane/src/control_process.cpp
+++ b/packages/control-plane/src/control_process.cpp
@@ -45,7 +45,10 @@
     daemon_->on_refused(peer, steady_now());
     flush();
   };
-  return connections_->listen();
+  absl::Status listening = connections_->listen();
+  if (!listening.ok())
+    return failure(std::string(listening.message()));
+  return true;
 }
 
 void ControlProcess::start() {
--- a/packages/data-plane/src/data_process.cpp
+++ b/packages/data-plane/src/data_process.cpp
@@ -24,7 +24,12 @@
   };
 }
 
-Outcome<bool> DataProcess::open() { return connections_->listen(); }
+Outcome<bool> DataProcess::open() {
+  absl::Status listening = connections_->listen();
+  if (!listening.ok())
+    return failure(std::string(listening.message()));
+  return true;
+}
 
 void DataProcess::start() {
   control_ = std::thread([this] {
--- a/packages/fleet-simulator/src/hollow_daemons.cpp
+++ b/packages/fleet-simulator/src/hollow_daemons.cpp
@@ -64,9 +64,9 @@
     };
   }
   Outcome<bool> start() {
-    auto listens = connections_.listen();
-    if (!listens)
-      return listens;
+    absl::Status listening = connections_.listen();
+    if (!listening.ok())
+      return failure(std::string(listening.message()));
     if (control_)
       control_->start(steady_now());
     else
--- a/packages/peer-connections/include/emberdale/peer_connections.hpp
+++ b/packages/peer-connections/include/emberdale/peer_connections.hpp
@@ -1,4 +1,7 @@
-// Links between the system's own processes: framed Avro over TCP, one way a link, best effort.
+// Connections between the processes of the fleet: framed messages over TCP, best effort.
+//
+// Each connection carries messages in one direction only, from the process that opened it. One is opened with the first
+// message to a peer; nothing is acknowledged or repeated here, the state machines do that themselves.
 #pragma once
 #include <boost/asio.hpp>
 #include <deque>
@@ -7,41 +10,58 @@
 #include <memory>
 #include <string>
 
+#include "absl/status/status.h"
 #include "emberdale/messages.hpp"
+#include "emberdale/socket_address.hpp"
 
 namespace emberdale {
 
-// What a test does to the links of one process (only under --allow-link-faults).
+// A fault that a test injects into the connections with one peer (only under --allow-link-faults).
 struct ConnectionFault {
-  bool is_cut_out = false;  // frames to that peer vanish
-  bool is_cut_in = false;   // frames from that peer vanish
-  Duration delay{0};        // frames to that peer wait this long
+  bool is_cut_out = false;  // messages to that peer are lost
+  bool is_cut_in = false;   // messages from that peer are lost
+  Duration delay{0};        // messages to that peer are held back this long
 };
 
+// Totals since the start of the process.
 struct ConnectionCounts {
-  std::int64_t frames_out = 0, frames_in = 0, frames_dropped = 0, bytes_out = 0, refused_frames = 0;
+  std::int64_t frames_out = 0;
+  std::int64_t frames_in = 0;
+  std::int64_t frames_dropped = 0;  // not sent: the queue was full, the connection failed, or a fault was injected
+  std::int64_t bytes_out = 0;
+  std::int64_t refused_frames = 0;  // malformed, too large or of another protocol; each ended its connection
 };
 
-// All calls on the one control thread that runs the io_context.
-// Example: PeerConnections links(context, {"127.0.0.1:7000"}, on_message); links.listen(); links.send(to, message);
+// The connections of one process.
+//
+// Has one owner: the thread that runs the io_context. All calls are made on it, and so are all callbacks, so there is
+// no lock. May be destroyed while operations are pending; their handlers then do nothing.
+//
+// Example:
+//   PeerConnections connections(context, {"127.0.0.1:7000"}, on_message);
+//   absl::Status listening = connections.listen();
+//   connections.send({"127.0.0.1:7001"}, message);
 class PeerConnections {
  public:
   using OnMessage = std::function<void(const Address& from, Message message)>;
+
+  // `self` is the address to listen on, which peers are told in the handshake.
   PeerConnections(boost::asio::io_context& context, Address self, OnMessage on_message);
   ~PeerConnections();
 
-  // Example: auto listens = links.listen(); if (!listens) LOG(ERROR) << listens.reason;
-  Outcome<bool> listen();
+  // Begins to accept connections. InvalidArgument if the own address is malformed, Unavailable if the system refuses
+  // it.
+  absl::Status listen();
 
-  // Never blocks; a frame that can't leave is dropped and counted. Example: links.send(peer, Ping{});
+  // Queues a message and returns at once. It is dropped and counted if the peer can't be reached or its queue is full.
   void send(const Address& to, const Message& message);
 
-  // Example: links.set_fault({"127.0.0.1:7001"}, {true, false, Duration{0}});
+  // Replaces the faults with one peer. Example: connections.set_fault({"127.0.0.1:7001"}, {true, false, Duration{0}});
   void set_fault(const Address& peer, ConnectionFault fault);
   void clear_faults();
 
-  // A definite word that no process listens there: it is not asleep, it is gone.
-  // Example: links.on_refused = [&](const Address& peer) { daemon.on_refused(peer, steady_now()); };
+  // Called when a peer's address refuses connections: no process listens there, so the peer has ended. A frozen
+  // process or a machine that can't be reached is never reported. May be left empty.
   std::function<void(const Address&)> on_refused;
 
   const ConnectionCounts& counts() const { return counts_; }
@@ -49,26 +69,38 @@
  private:
   struct OutboundConnection;
   struct InboundConnection;
+
+  // Inbound: handshake, then one message after the other.
   void accept_next();
-  void dial(const std::shared_ptr<OutboundConnection>& connection);
+  void read_next(const std::shared_ptr<InboundConnection>& connection);
+  void read_body(const std::shared_ptr<InboundConnection>& connection);
+  bool handle_body(InboundConnection& connection);
+  bool handle_handshake(InboundConnection& connection);
+  bool handle_message(const InboundConnection& connection);
+  void restart_stuck_connect(const Address& peer);
+
+  // Outbound.
+  void enqueue(const Address& to, std::shared_ptr<const std::string> frame);
+  std::shared_ptr<OutboundConnection> add_outbound_connection(const Address& to);
+  bool is_current(const std::shared_ptr<OutboundConnection>& connection) const;
+  void connect(const std::shared_ptr<OutboundConnection>& connection);
+  void on_connected(const std::shared_ptr<OutboundConnection>& connection);
+  void on_connect_failed(const std::shared_ptr<OutboundConnection>& connection, boost::system::error_code error);
+  void watch_for_close(const std::shared_ptr<OutboundConnection>& connection);
   void write_next(const std::shared_ptr<OutboundConnection>& connection);
   void drop(const std::shared_ptr<OutboundConnection>& connection);
-  void look_again(const Address& to);
-  void heard_from(const Address& peer);
-  void read_next(const std::shared_ptr<InboundConnection>& connection);
-  void queue_frame(const Address& to, std::shared_ptr<std::string> frame);
+  void reconnect_later(const Address& to);
+  void call_later(std::chrono::milliseconds delay, std::function<void()> action);
 
   boost::asio::io_context& context_;
   Address self_;
   OnMessage on_message_;
   boost::asio::ip::tcp::acceptor acceptor_;
-  std::map<Address, std::shared_ptr<OutboundConnection>> outbound_connections_;
+  std::map<Address, std::shared_ptr<OutboundConnection>> outbound_connections_;  // the current one of each peer
   std::map<Address, ConnectionFault> faults_;
   ConnectionCounts counts_;
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
+  // Shared with pending handlers: false once this object is destroyed.
+  std::shared_ptr<bool> is_alive_ = std::make_shared<bool>(true);
 };
 
-// Example: split_address("127.0.0.1:80")->second == 80
-Outcome<std::pair<std::string, int>> split_address(const std::string& text);
-
 }  // namespace emberdale
--- a/packages/peer-connections/tests/peer_connections_test.cpp
+++ b/packages/peer-connections/tests/peer_connections_test.cpp
@@ -1,14 +1,14 @@
-// Links between processes, on loopback with ports that the system chooses.
+// Tests of connections between processes, on loopback with ports that the system chooses.
 #include "emberdale/peer_connections.hpp"
 
 #include <gtest/gtest.h>
 
-using namespace emberdale;
+namespace emberdale {
+namespace {
+
 namespace asio = boost::asio;
 using asio::ip::tcp;
 
-namespace {
-
 std::string text_of(const tcp::endpoint& endpoint) {
   return endpoint.address().to_string() + ":" + std::to_string(endpoint.port());
 }
@@ -19,19 +19,17 @@
   return {text_of(acceptor.local_endpoint())};
 }
 
-// Runs until the question is answered yes, or far too much time is over.
-bool run_until(asio::io_context& context, const std::function<bool()>& question) {
+// Runs until the condition holds, or far too much time has passed.
+bool run_until(asio::io_context& context, const std::function<bool()>& condition) {
   auto end = std::chrono::steady_clock::now() + std::chrono::seconds(60);
-  while (!question() && std::chrono::steady_clock::now() < end) {
+  while (!condition() && std::chrono::steady_clock::now() < end) {
     context.restart();
     context.run_one_for(std::chrono::milliseconds(100));
   }
-  return question();
+  return condition();
 }
 
-}  // namespace
-
-TEST(PeerConnections, CarryMessagesAndTellWhoEnded) {
+TEST(PeerConnections, CarryMessagesWithTheirSender) {
   asio::io_context context;
   Address here = free_address(context), there = free_address(context);
   std::vector<Address> heard, refused;
@@ -39,17 +37,17 @@
   mine.on_refused = [&](const Address& peer) {
     refused.push_back(peer);
   };
-  ASSERT_TRUE(mine.listen());
+  ASSERT_TRUE(mine.listen().ok());
   auto theirs =
       std::make_unique<PeerConnections>(context, there, [&](const Address& from, Message) { heard.push_back(from); });
-  ASSERT_TRUE(theirs->listen());
+  ASSERT_TRUE(theirs->listen().ok());
   mine.send(there, Message{LeaveNotice{}});
   ASSERT_TRUE(run_until(context, [&] { return heard.size() == 1; }));
   EXPECT_EQ(heard.front(), here);
   EXPECT_TRUE(refused.empty());
 }
 
-TEST(PeerConnections, AnAddressWhereNoOneListensIsToldAtOnce) {
+TEST(PeerConnections, AnAddressWhereNoProcessListensIsReportedAtOnce) {
   asio::io_context context;
   Address here = free_address(context), nobody = free_address(context);
   std::vector<Address> refused;
@@ -60,19 +58,19 @@
   connections.send(nobody, Message{LeaveNotice{}});
   ASSERT_TRUE(run_until(context, [&] { return !refused.empty(); }));
   EXPECT_EQ(refused.front(), nobody);
-  // A cut, as tests make it, is silence and no refusal.
+  // An injected cut is silence and no refusal.
   refused.clear();
   connections.set_fault(nobody, {true, false, Duration{0}});
   connections.send(nobody, Message{LeaveNotice{}});
   connections.clear_faults();
-  connections.send(here, Message{LeaveNotice{}});  // nobody listens here either: the next refusal is this one
+  connections.send(here, Message{LeaveNotice{}});  // no process listens here either: the next refusal is this one
   ASSERT_TRUE(run_until(context, [&] { return !refused.empty(); }));
   EXPECT_EQ(refused.front(), here);
 }
 
-TEST(PeerConnections, AnAddressThatNeverAnswersIsDialledAnew) {
+TEST(PeerConnections, AConnectThatGetsNoResponseIsGivenUp) {
   asio::io_context context;
-  // A listener whose queue is full lets further dials hang, as a machine does that can't be reached.
+  // A listener whose backlog is full leaves further connects unanswered, as a machine does that can't be reached.
   tcp::acceptor full(context);
   full.open(tcp::v4());
   full.bind(tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0));
@@ -90,20 +88,21 @@
   Address silent{text_of(full.local_endpoint())};
   connections.send(silent, Message{LeaveNotice{}});
   ASSERT_TRUE(run_until(
-      context, [&] { return connections.counts().frames_dropped == 1; }));  // given up: the next is dialled anew
+      context, [&] { return connections.counts().frames_dropped == 1; }));  // given up: the next message connects anew
   EXPECT_FALSE(is_refused);
 }
 
-// A whole table of routes in one message: on a narrow link it would take longer than a round of the register lasts.
-TEST(PeerConnections, ALargeMessageArrivesWholeAndGoesPacked) {
+// A whole routing table in one message: without compression it would take longer than a round of the register lasts
+// where bandwidth is low.
+TEST(PeerConnections, ALargeMessageArrivesWholeAndIsCompressed) {
   asio::io_context context;
   Address here = free_address(context), there = free_address(context);
   std::vector<EditRequest> heard;
   PeerConnections mine(context, here, [](const Address&, Message) {});
-  ASSERT_TRUE(mine.listen());
+  ASSERT_TRUE(mine.listen().ok());
   PeerConnections theirs(context, there,
                          [&](const Address&, Message message) { heard.push_back(std::get<EditRequest>(message)); });
-  ASSERT_TRUE(theirs.listen());
+  ASSERT_TRUE(theirs.listen().ok());
   EditRequest request;
   for (int i = 0; i < 5000; ++i)
     request.body += "{\"name\":\"route-" + std::to_string(i) + "\",\"host\":\"a.example\",\"kind\":\"streaming\"},";
@@ -117,20 +116,23 @@
   EXPECT_LT(mine.counts().bytes_out * 4, static_cast<std::int64_t>(request.body.size()));
 }
 
-TEST(PeerConnections, APackedFrameThatIsSpoiltEndsItsLinkAlone) {
+TEST(PeerConnections, AMalformedCompressedFrameEndsItsConnectionAlone) {
   asio::io_context context;
   Address there = free_address(context);
   int heard = 0;
   PeerConnections theirs(context, there, [&](const Address&, Message) { ++heard; });
-  ASSERT_TRUE(theirs.listen());
-  auto place = split_address(there.text);
-  for (const std::string& spoilt : {std::string("\x05\0\0\x80\xff\xff\xff\x7fz", 9),
-                                    std::string("\x06\0\0\x80\x10\0\0\0zz", 10), std::string("\x01\0\0\x80z", 5)}) {
+  ASSERT_TRUE(theirs.listen().ok());
+  auto address = parse_socket_address(there.text);
+  for (const std::string& malformed : {std::string("\x05\0\0\x80\xff\xff\xff\x7fz", 9),
+                                       std::string("\x06\0\0\x80\x10\0\0\0zz", 10), std::string("\x01\0\0\x80z", 5)}) {
     tcp::socket socket(context);
-    socket.connect(tcp::endpoint(asio::ip::make_address(place->first), static_cast<unsigned short>(place->second)));
+    socket.connect(tcp::endpoint(asio::ip::make_address(address->ip), static_cast<unsigned short>(address->port)));
     std::int64_t before = theirs.counts().refused_frames;
-    asio::write(socket, asio::buffer(spoilt));
+    asio::write(socket, asio::buffer(malformed));
     ASSERT_TRUE(run_until(context, [&] { return theirs.counts().refused_frames > before; }));
   }
   EXPECT_EQ(heard, 0);
 }
+
+}  // namespace
+}  // namespace emberdale
--- /dev/null
+++ b/packages/program-settings/include/emberdale/program_runtime.hpp
@@ -0,0 +1,28 @@
+// What the programs of the fleet share at run time: the clock, random ids, signals, logging and the text of counters.
+#pragma once
+#include <functional>
+#include <map>
+#include <string>
+
+#include "emberdale/small_types.hpp"
+
+namespace emberdale {
+
+// Milliseconds on a clock that is never set and goes on while the machine sleeps. Safe for use by several threads.
+TimePoint steady_now();
+
+// 16 random bytes as 32 hexadecimal digits. Safe for use by several threads.
+std::string random_id();
+
+// Begins logging to standard error, ignores SIGPIPE and blocks the signals that wait_for_stop() waits for. To be called
+// by the main thread before others are started. Example: start_program("emberdale-data-plane")
+void start_program(const char* name);
+
+// Waits for SIGTERM or SIGINT and gives its number. A SIGHUP says that the settings file has changed: it calls
+// `on_hang_up`, if given, and waiting goes on.
+int wait_for_stop(const std::function<void()>& on_hang_up = nullptr);
+
+// Counters in the text format of Prometheus. Example: counters_text("emberdale", {{"calls", 3}})
+std::string counters_text(const std::string& prefix, const std::map<std::string, std::int64_t>& counters);
+
+}  // namespace emberdale
