--- a/packages/control-plane/tests/control_history_test.cpp
+++ b/packages/control-plane/tests/control_history_test.cpp
@@ -1,25 +1,30 @@
-// What operators and readers are told over days of cuts, restarts, wiped disks, races and lost answers has an order.
+// The responses that operators and readers get are linearizable, over scenarios of cuts, restarts, wiped disks, races
+// and lost messages.
 #include <gtest/gtest.h>
 
 #include "support/operator_scenario.hpp"
 
-using namespace emberdale;
+namespace emberdale {
+namespace {
 
 TEST(ControlHistory, ChangesOfTheConfigurationAndReadsAreLinearizable) {
   OperatorScenarioPlan plan;
   plan.configuration_share = 1;
-  expect_linearizable_days(plan);
+  expect_linearizable_scenarios(plan);
 }
 
-TEST(ControlHistory, AReadThatTheCoreDoesNotConfirmIsSeen) {
+TEST(ControlHistory, AReadWithoutConfirmationByAMajorityIsDetected) {
   OperatorScenarioPlan plan;
   plan.configuration_share = 1;
   plan.are_reads_unconfirmed = true;
-  bool is_seen = false;
-  for (std::uint64_t seed = 1; seed <= 10 && !is_seen; ++seed) {
-    OperatorScenario day(seed, plan);
-    day.run();
-    is_seen = day.judge().verdict == history::Verdict::not_linearizable;
+  bool is_detected = false;
+  for (std::uint64_t seed = 1; seed <= 10 && !is_detected; ++seed) {
+    OperatorScenario scenario(seed, plan);
+    scenario.run();
+    is_detected = scenario.check_history().verdict == history::Verdict::not_linearizable;
   }
-  EXPECT_TRUE(is_seen);
+  EXPECT_TRUE(is_detected);
 }
+
+}  // namespace
+}  // namespace emberdale
--- a/packages/control-plane/tests/edit_batch_test.cpp
+++ b/packages/control-plane/tests/edit_batch_test.cpp
@@ -1,17 +1,17 @@
-// Edits that are worked out together: each has its own verdict, as if they came one after the other, and all are
+// Edits that are applied together: each has its own result, as if they came one after the other, and all are
 // acknowledged soon enough, also with a large table and a slow disk.
 #include "emberdale/edit_batch.hpp"
 
 #include <iostream>
 
+#include "emberdale/avro_codec.hpp"
 #include "support/machine_fleet.hpp"
 
-using namespace emberdale;
-
+namespace emberdale {
 namespace {
 
-EditRequest ask_of(const std::string& change, const std::string& act, const std::string& kind, const std::string& name,
-                   std::int64_t expected, const std::string& body) {
+EditRequest edit_request(const std::string& change, const std::string& act, const std::string& kind,
+                         const std::string& name, std::int64_t expected, const std::string& body) {
   return EditRequest{1, change, act, kind, name, expected, body};
 }
 
@@ -29,22 +29,20 @@
   std::int64_t expected = random.below(5) - 1;
   switch (random.below(5)) {
     case 0:
-      return ask_of(change, "put", orders_kind, name, expected, R"({"state":"emptied"})");
+      return edit_request(change, "put", orders_kind, name, expected, R"({"state":"emptied"})");
     case 1:
-      return ask_of(change, "put", orders_kind, name, expected, R"({"state":"serving"})");
+      return edit_request(change, "put", orders_kind, name, expected, R"({"state":"serving"})");
     case 2:
-      return ask_of(change, "delete", orders_kind, name, expected, "");
+      return edit_request(change, "delete", orders_kind, name, expected, "");
     case 3:
-      return ask_of(change, "put", orders_kind, name, expected, "not JSON");
+      return edit_request(change, "put", orders_kind, name, expected, "not JSON");
     default:
-      return ask_of(change, "replace", routing_table_kind, routing_table_name, std::max<std::int64_t>(0, expected),
-                    table(random.below(6), 1));
+      return edit_request(change, "replace", routing_table_kind, routing_table_name,
+                          std::max<std::int64_t>(0, expected), table(random.below(6), 1));
   }
 }
 
-}  // namespace
-
-TEST(EditBatch, EachVerdictIsAsIfTheEditsCameOneAfterTheOther) {
+TEST(EditBatch, EachResultIsAsIfTheEditsCameOneAfterTheOther) {
   std::map<int, int> codes;
   for (std::uint64_t seed = 1; seed <= 300; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
@@ -66,7 +64,7 @@
       EXPECT_EQ(together.edits[i].result.reason, verdicts[i].reason) << i;
       ++codes[verdicts[i].code];
     }
-    // Worked out anew on the state that holds them, those that were applied are found there.
+    // Computed again on the state that has them, those that were applied are found there.
     EditBatch repeated = together;
     FleetState again = at_once;
     repeated.work_out(again, true);
@@ -79,25 +77,25 @@
     EXPECT_GT(codes[code], 0) << code;
 }
 
-TEST(EditBatch, WhoLeadsNoMoreAppliesNothingAndTellsWhatWasDone) {
+TEST(EditBatch, AFormerLeaderAppliesNothingAndReportsWhatWasDone) {
   FleetState state;
-  EditRequest done = ask_of("change-1", "put", orders_kind, "a", -1, R"({"state":"emptied"})");
+  EditRequest done = edit_request("change-1", "put", orders_kind, "a", -1, R"({"state":"emptied"})");
   EditBatch first{{{done, {}}}};
   EXPECT_TRUE(first.work_out(state, true));
   std::string before = encode_state(state);
-  EditBatch late{{{done, {}}, {ask_of("change-2", "put", orders_kind, "b", -1, R"({"state":"emptied"})"), {}}}};
+  EditBatch late{{{done, {}}, {edit_request("change-2", "put", orders_kind, "b", -1, R"({"state":"emptied"})"), {}}}};
   EXPECT_FALSE(late.work_out(state, false));
   EXPECT_EQ(late.edits[0].result.code, 200);
   EXPECT_EQ(late.edits[1].result.code, 503);
   EXPECT_EQ(encode_state(state), before);
 }
 
-// Two operators build on one version of the table: one of them wins, and a third that sends the same is told so.
-TEST(EditBatch, OfTwoTablesOnOneBaseOneIsTaken) {
+// Two operators build on one version of the table: one of them wins, and a third that sends the same gets its result.
+TEST(EditBatch, OfTwoTablesOfOneExpectedVersionOneIsApplied) {
   FleetState state;
-  EditBatch batch{{{ask_of("change-1", "replace", routing_table_kind, routing_table_name, 0, table(7, 1)), {}},
-                   {ask_of("change-2", "replace", routing_table_kind, routing_table_name, 0, table(8, 2)), {}},
-                   {ask_of("change-3", "replace", routing_table_kind, routing_table_name, 0, table(7, 1)), {}}}};
+  EditBatch batch{{{edit_request("change-1", "replace", routing_table_kind, routing_table_name, 0, table(7, 1)), {}},
+                   {edit_request("change-2", "replace", routing_table_kind, routing_table_name, 0, table(8, 2)), {}},
+                   {edit_request("change-3", "replace", routing_table_kind, routing_table_name, 0, table(7, 1)), {}}}};
   EXPECT_TRUE(batch.work_out(state, true));
   EXPECT_EQ(batch.edits[0].result.code, 200);
   EXPECT_EQ(batch.edits[1].result.code, 412);
@@ -105,28 +103,28 @@
   EXPECT_EQ(state.config_revision, 1);
 }
 
-TEST(EditBatch, WhatIsEnsuredAndThereAlreadyNeedsNoWrite) {
+TEST(EditBatch, EnsuringWhatIsAlreadySoNeedsNoWrite) {
   const std::string emptied = R"({"state":"emptied"})", serving = R"({"state":"serving"})";
   FleetState state;
-  EditBatch begin{{{ask_of("change-1", ensure_act, orders_kind, "a", -1, emptied), {}}}};
+  EditBatch begin{{{edit_request("change-1", ensure_act, orders_kind, "a", -1, emptied), {}}}};
   EXPECT_TRUE(begin.work_out(state, true));
   EXPECT_EQ(begin.edits[0].result.code, 201);
-  EditBatch again{{{ask_of("change-2", ensure_act, orders_kind, "a", -1, emptied), {}}}};
+  EditBatch again{{{edit_request("change-2", ensure_act, orders_kind, "a", -1, emptied), {}}}};
   EXPECT_FALSE(again.work_out(state, true));
   EXPECT_EQ(again.edits[0].result.code, 200);
   EXPECT_EQ(again.edits[0].result.version, begin.edits[0].result.version);
-  EditBatch finish{{{ask_of("change-3", ensure_act, orders_kind, "a", -1, serving), {}}}};
+  EditBatch finish{{{edit_request("change-3", ensure_act, orders_kind, "a", -1, serving), {}}}};
   EXPECT_TRUE(finish.work_out(state, true));
-  EditBatch put{{{ask_of("change-4", "put", orders_kind, "a", -1, serving), {}}}};
+  EditBatch put{{{edit_request("change-4", "put", orders_kind, "a", -1, serving), {}}}};
   EXPECT_TRUE(put.work_out(state, true));  // who puts gets a version of its own
   EXPECT_GT(put.edits[0].result.version, finish.edits[0].result.version);
-  EditBatch broken{{{ask_of("change-5", ensure_act, orders_kind, "a", -1, "not JSON"), {}}}};
+  EditBatch broken{{{edit_request("change-5", ensure_act, orders_kind, "a", -1, "not JSON"), {}}}};
   EXPECT_FALSE(broken.work_out(state, true));
   EXPECT_GE(broken.edits[0].result.code, 400);
 }
 
 // On a slow disk a write takes longer than an operator waits for one daemon.
-TEST(EditBatch, OperatorsThatLeaveAfterASecondGetTheirAcknowledgementOnASlowDisk) {
+TEST(EditBatch, OperatorsThatTimeOutAfterASecondGetTheirAcknowledgementOnASlowDisk) {
   std::vector<std::int64_t> times;
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
@@ -134,31 +132,31 @@
     fleet.edit_times.requester_timeout = fleet.edit_times.leader_wait = Duration{800};
     auto names = bring_up(fleet, 3);
     fleet.delay = 28;
-    fleet.sync_time = 150;
+    fleet.sync_ms = 150;
     fleet.run(2000);
     struct Operator {
       std::int64_t begun = 0, done = 0;
-      std::function<void(std::size_t)> ask;
+      std::function<void(std::size_t)> request;
     };
     std::vector<Operator> operators(8);
     for (std::size_t i = 0; i < operators.size(); ++i) {
       Operator& one = operators[i];
       one.begun = fleet.now();
-      one.ask = [&fleet, &names, &one, i](std::size_t turn) {
-        auto order = fleet.order(names[turn % names.size()], "zone-" + std::to_string(i), true);
-        fleet.later(1000, [&one, order, turn, &fleet] {
-          if (order->is_acknowledged())
-            one.done = order->over;
+      one.request = [&fleet, &names, &one, i](std::size_t turn) {
+        auto outcome = fleet.set_zone_state(names[turn % names.size()], "zone-" + std::to_string(i), true);
+        fleet.later(1000, [&one, outcome, turn, &fleet] {
+          if (outcome->is_acknowledged())
+            one.done = outcome->over_at;
           else
-            fleet.later(100, [&one, turn] { one.ask(turn + 1); });
+            fleet.later(100, [&one, turn] { one.request(turn + 1); });
         });
       };
-      one.ask(i);
+      one.request(i);
     }
     EXPECT_TRUE(fleet.run_until(
         [&] { return std::all_of(operators.begin(), operators.end(), [](const auto& one) { return one.done != 0; }); },
         20000))
-        << fleet.story();
+        << fleet.trace();
     for (const auto& one : operators)
       times.push_back(one.done - one.begun);
     if (HasFailure())
@@ -170,8 +168,8 @@
   EXPECT_LE(times.back(), 6000);
 }
 
-TEST(EditBatch, EightOrdersAtOnceAreAcknowledgedSoonAlsoWithALargeTableAndASlowDisk) {
-  for (std::int64_t sync_time : {2, 150})
+TEST(EditBatch, EightZoneOrdersAtOnceAreAcknowledgedSoonAlsoWithALargeTableAndASlowDisk) {
+  for (std::int64_t sync_ms : {2, 150})
     for (int routes : {1, 1400}) {
       std::vector<std::int64_t> times;
       std::int64_t writes = 0;
@@ -181,34 +179,40 @@
         fleet.edit_times.requester_timeout = fleet.edit_times.leader_wait = Duration{800};
         auto names = bring_up(fleet, 3);
         fleet.delay = 28;
-        fleet.sync_time = sync_time;
+        fleet.sync_ms = sync_ms;
         fleet.run(2000);
-        auto taken = fleet.request(fleet.master(),
-                                   ask_of("", "replace", routing_table_kind, routing_table_name, 0, table(1, routes)));
-        ASSERT_TRUE(fleet.run_until([&] { return taken->is_over; }, 8000)) << fleet.story();
-        EXPECT_TRUE(taken->is_acknowledged());
+        auto table_change = fleet.request(
+            fleet.master(), edit_request("", "replace", routing_table_kind, routing_table_name, 0, table(1, routes)));
+        ASSERT_TRUE(fleet.run_until([&] { return table_change->is_over; }, 8000)) << fleet.trace();
+        EXPECT_TRUE(table_change->is_acknowledged());
         fleet.run(1000);
         std::int64_t writes_before = fleet.at(fleet.master()).control->edit_counts().writes;
-        std::vector<std::shared_ptr<EditOutcome>> orders;
+        std::vector<std::shared_ptr<EditOutcome>> outcomes;
         for (std::size_t i = 0; i < 8; ++i)
-          orders.push_back(fleet.order(names[i % 3], "zone-" + std::to_string(i), true));
+          outcomes.push_back(fleet.set_zone_state(names[i % 3], "zone-" + std::to_string(i), true));
         EXPECT_TRUE(fleet.run_until(
-            [&] { return std::all_of(orders.begin(), orders.end(), [](const auto& order) { return order->is_over; }); },
+            [&] {
+              return std::all_of(outcomes.begin(), outcomes.end(),
+                                 [](const auto& outcome) { return outcome->is_over; });
+            },
             8000))
-            << fleet.story();
-        for (const auto& order : orders) {
-          EXPECT_TRUE(order->is_acknowledged()) << order->code;
-          times.push_back(order->over - order->asked);
+            << fleet.trace();
+        for (const auto& outcome : outcomes) {
+          EXPECT_TRUE(outcome->is_acknowledged()) << outcome->code;
+          times.push_back(outcome->over_at - outcome->requested_at);
         }
         writes += fleet.at(fleet.master()).control->edit_counts().writes - writes_before;
         if (HasFailure())
           return;
       }
       std::sort(times.begin(), times.end());
-      std::cout << routes << " routes, disk of " << sync_time << " to " << 2 * sync_time << " ms: median "
+      std::cout << routes << " routes, disk of " << sync_ms << " to " << 2 * sync_ms << " ms: median "
                 << times[times.size() / 2] << ", worst " << times.back() << " ms, " << writes
-                << " writes for 5 times eight orders\n";
+                << " writes for 5 times eight zone orders\n";
       EXPECT_LE(times.back(), 2500);
       EXPECT_LE(writes, 5 * 4);
     }
 }
+
+}  // namespace
+}  // namespace emberdale
--- a/packages/control-plane/tests/edit_forwarder_test.cpp
+++ b/packages/control-plane/tests/edit_forwarder_test.cpp
@@ -1,4 +1,4 @@
-// Edits on their way to a master: when a refusal may be told, and what is passed on meanwhile.
+// Edits on their way to a master: when a refusal may be returned, and which dispatch blocks are forwarded meanwhile.
 #include "emberdale/edit_forwarder.hpp"
 
 #include <gtest/gtest.h>
@@ -6,8 +6,7 @@
 #include "emberdale/leader_lease.hpp"
 #include "emberdale/serving_plans.hpp"
 
-using namespace emberdale;
-
+namespace emberdale {
 namespace {
 
 EditRequest ask_of(const std::string& kind, const std::string& name, const std::string& body) {
@@ -21,76 +20,74 @@
   return request;
 }
 
-struct Bench {
-  Bench() {
+struct ForwarderFixture {
+  ForwarderFixture() {
     forwarder.take(
-        ask_of(plans_kind, "p", "{}"), [this](const EditResponse& response) { told.push_back(response.code); }, {},
+        ask_of(plans_kind, "p", "{}"), [this](const EditResponse& response) { responses.push_back(response.code); }, {},
         TimePoint{0});
   }
   void send(std::int64_t term, std::int64_t at) { forwarder.send(Address{"m"}, term, TimePoint{at}); }
-  void answer(std::int64_t code, std::int64_t term, std::int64_t at = 3000) {
+  void respond(std::int64_t code, std::int64_t term, std::int64_t at = 3000) {
     forwarder.on_response(EditResponse{7, code, 0, "", term}, TimePoint{at});
   }
   EditForwarder forwarder;
-  std::vector<std::int64_t> told;
+  std::vector<std::int64_t> responses;
 };
 
-}  // namespace
-
-TEST(EditForwarder, WithoutAMasterItWaitsAWhileAndIsThenRefused) {
-  Bench bench;
-  bench.forwarder.on_timer(TimePoint{6000});
-  EXPECT_TRUE(bench.told.empty());
-  bench.forwarder.on_timer(TimePoint{7000});
-  EXPECT_EQ(bench.told, (std::vector<std::int64_t>{503}));
+TEST(EditForwarder, WithoutAMasterAnEditWaitsAndIsThenRefused) {
+  ForwarderFixture fixture;
+  fixture.forwarder.on_timer(TimePoint{6000});
+  EXPECT_TRUE(fixture.responses.empty());
+  fixture.forwarder.on_timer(TimePoint{7000});
+  EXPECT_EQ(fixture.responses, (std::vector<std::int64_t>{503}));
 }
 
-TEST(EditForwarder, ACopyThatIsOutIsNeverCalledRefused) {
-  Bench bench;
-  bench.send(4, 0);
-  bench.forwarder.on_timer(TimePoint{60000});
-  EXPECT_EQ(bench.told, (std::vector<std::int64_t>{504}));
+TEST(EditForwarder, AnEditThatWasSentIsNeverReportedAsRefused) {
+  ForwarderFixture fixture;
+  fixture.send(4, 0);
+  fixture.forwarder.on_timer(TimePoint{60000});
+  EXPECT_EQ(fixture.responses, (std::vector<std::int64_t>{504}));
 }
 
-TEST(EditForwarder, EachCopyMustBeDisownedBeforeItCountsAsNeverSent) {
-  Bench bench;
-  bench.send(4, 0);
-  bench.send(4, 500);  // the same again: the first may have been lost
-  bench.answer(0, 4);  // one of them came to a daemon that does not lead term 4
-  bench.forwarder.on_timer(TimePoint{60000});
-  EXPECT_EQ(bench.told, (std::vector<std::int64_t>{504}));
-  Bench other;
+TEST(EditForwarder, EachCopySentMustBeRejectedBeforeTheEditCountsAsRefused) {
+  ForwarderFixture fixture;
+  fixture.send(4, 0);
+  fixture.send(4, 500);   // the same again: the first may have been lost
+  fixture.respond(0, 4);  // one of them came to a daemon that does not lead term 4
+  fixture.forwarder.on_timer(TimePoint{60000});
+  EXPECT_EQ(fixture.responses, (std::vector<std::int64_t>{504}));
+  ForwarderFixture other;
   other.send(4, 0);
   other.send(4, 500);
-  other.answer(0, 4);
-  other.answer(0, 4);
+  other.respond(0, 4);
+  other.respond(0, 4);
   other.forwarder.on_timer(TimePoint{60000});
-  EXPECT_EQ(other.told, (std::vector<std::int64_t>{503}));
+  EXPECT_EQ(other.responses, (std::vector<std::int64_t>{503}));
 }
 
-TEST(EditForwarder, ARefusalIsToldOnceNoOtherCopyCanBeDone) {
-  Bench unread;  // the later master never looked at the register: the earlier one may have done it
+TEST(EditForwarder, ARefusalIsReturnedOnceNoOtherCopyCanBeApplied) {
+  ForwarderFixture unread;  // the later master never read the register: the earlier one may have applied it
   unread.send(4, 0);
   unread.send(5, 500);
-  unread.answer(503, 5);
-  EXPECT_TRUE(unread.told.empty());
-  unread.answer(200, 4);
-  EXPECT_EQ(unread.told, (std::vector<std::int64_t>{200}));
-  Bench read;  // worked out on the state: what the earlier one did would have been found
+  unread.respond(503, 5);
+  EXPECT_TRUE(unread.responses.empty());
+  unread.respond(200, 4);
+  EXPECT_EQ(unread.responses, (std::vector<std::int64_t>{200}));
+  ForwarderFixture read;  // computed on the state: what the earlier one applied would have been found
   read.send(4, 0);
   read.send(5, 500);
-  read.answer(412, 5);
-  EXPECT_EQ(read.told, (std::vector<std::int64_t>{412}));
-  Bench late;  // an elder's refusal says nothing of the newer one's copy
+  read.respond(412, 5);
+  EXPECT_EQ(read.responses, (std::vector<std::int64_t>{412}));
+  ForwarderFixture late;  // a refusal of the previous master says nothing about the copy at the newer one
   late.send(4, 0);
   late.send(5, 500);
-  late.answer(412, 4);
-  EXPECT_TRUE(late.told.empty());
-  late.answer(200, 5);
-  EXPECT_EQ(late.told, (std::vector<std::int64_t>{200}));
+  late.respond(412, 4);
+  EXPECT_TRUE(late.responses.empty());
+  late.respond(200, 5);
+  EXPECT_EQ(late.responses, (std::vector<std::int64_t>{200}));
 }
 
-TEST(ForwardedBlock, OnlyWhatTakesWorkAwayIsPassedOnAndOnlyWhileItWaits) {
+TEST(ForwardedBlock, OnlyEditsThatRemoveCapacityAreForwardedAndOnlyWhileTheyWait) {
   EXPECT_FALSE(block_of(ask_of(runners_kind, "m1", R"({"leaving":false})"), 1, TimePoint{0}).block);
   EXPECT_FALSE(block_of(ask_of(orders_kind, "a", R"({"state":"serving"})"), 1, TimePoint{0}).block);
   EXPECT_FALSE(block_of(ask_of(plans_kind, "leaving", R"({"leaving":true})"), 1, TimePoint{0}).block);
@@ -108,7 +105,7 @@
   EXPECT_FALSE(runner.is_due(1, TimePoint{3300}));  // its time is over
 }
 
-TEST(LeaderLease, AClaimWaitsShortlyOnlyWhereAMajorityOfTheLeaseRosterHasPromised) {
+TEST(LeaderLease, AClaimWaitsBrieflyOnlyIfAMajorityOfTheLeaseRosterHasPromised) {
   FleetState state;
   state.term = 4;
   state.master.text = "a";
@@ -132,15 +129,13 @@
   EXPECT_EQ(wait({Address{"b"}, Address{"c"}, Address{"d"}}, waiting), late_ack_wait.value);
 }
 
-namespace {
-
-// An edit without a version, asked by one who leaves after a second.
-struct ImpatientBench {
-  ImpatientBench() : forwarder(times()) {
+// An edit without an expected version, whose client times out after a second.
+struct TimedForwarder {
+  TimedForwarder() : forwarder(times()) {
     EditRequest request = ask_of(orders_kind, "a", R"({"state":"serving"})");
     request.expected_version = -1;
     forwarder.take(
-        request, [this](const EditResponse& response) { told.push_back(response.code); }, {}, TimePoint{0});
+        request, [this](const EditResponse& response) { responses.push_back(response.code); }, {}, TimePoint{0});
   }
   static EditTimes times() {
     EditTimes times;
@@ -149,79 +144,77 @@
     times.response_timeout = Duration{5000};
     return times;
   }
-  // What is sent to the leader of that term. Example: sent(4, 0, 2000).at(0).stamp == 2000
-  std::vector<EditRequest> sent(std::int64_t term, std::int64_t at, std::int64_t stamp = 0) {
+  // What is sent to the leader of that term. Example: sent(4, 0, 2000).at(0).timestamp == 2000
+  std::vector<EditRequest> sent(std::int64_t term, std::int64_t at, std::int64_t timestamp = 0) {
     std::vector<EditRequest> edit_requests;
-    for (const auto& message : forwarder.send(Address{"m"}, term, TimePoint{at}, stamp))
+    for (const auto& message : forwarder.send(Address{"m"}, term, TimePoint{at}, timestamp))
       edit_requests.push_back(std::get<EditRequest>(message.message));
     return edit_requests;
   }
   EditForwarder forwarder;
-  std::vector<std::int64_t> told;
+  std::vector<std::int64_t> responses;
 };
 
-}  // namespace
-
-TEST(EditForwarder, ACopyCarriesItsAgeAndTheNewestStampOfTheLeadersClock) {
-  ImpatientBench bench;
-  auto first = bench.sent(4, 100);
+TEST(EditForwarder, ACopyCarriesItsAgeAndTheNewestTimestampOfTheLeadersClock) {
+  TimedForwarder fixture;
+  auto first = fixture.sent(4, 100);
   ASSERT_EQ(first.size(), 1u);
   EXPECT_EQ(first[0].age_ms, 100);
   EXPECT_EQ(first[0].master_timestamp, 0);
-  EXPECT_TRUE(bench.sent(4, 200).empty());
-  // The leader could not tell how old it was: it is sent again at once, with the stamp that came.
-  bench.forwarder.on_response(EditResponse{7, 0, 0, "", 4, 9000}, TimePoint{220});
-  auto second = bench.sent(4, 220, 8000);
+  EXPECT_TRUE(fixture.sent(4, 200).empty());
+  // The leader could not bound its age: it is sent again at once, with the timestamp that the response brought.
+  fixture.forwarder.on_response(EditResponse{7, 0, 0, "", 4, 9000}, TimePoint{220});
+  auto second = fixture.sent(4, 220, 8000);
   ASSERT_EQ(second.size(), 1u);
   EXPECT_EQ(second[0].age_ms, 220);
   EXPECT_EQ(second[0].master_timestamp, 9000);
   // Another leader's clock is another.
-  auto third = bench.sent(5, 730, 17);
+  auto third = fixture.sent(5, 730, 17);
   ASSERT_EQ(third.size(), 1u);
   EXPECT_EQ(third[0].master_timestamp, 17);
 }
 
-TEST(EditForwarder, WhatIsTooOldIsSentNoMoreAndIsNotDoneByItselfEither) {
-  ImpatientBench bench;
-  EXPECT_EQ(bench.sent(4, 100).size(), 1u);
-  EXPECT_TRUE(bench.sent(4, 800).empty());
-  EXPECT_TRUE(bench.sent(5, 900).empty());
-  EXPECT_TRUE(bench.forwarder.take_back(TimePoint{900}).empty());
-  bench.forwarder.on_timer(TimePoint{900});
-  EXPECT_TRUE(bench.told.empty());  // the copy that is out may be done
-  bench.forwarder.on_response(EditResponse{7, 0, 0, "", 4, 9000}, TimePoint{1000});
-  bench.forwarder.on_timer(TimePoint{1000});
-  EXPECT_EQ(bench.told, (std::vector<std::int64_t>{503}));
-  ImpatientBench young;
-  EXPECT_EQ(young.forwarder.take_back(TimePoint{799}).size(), 1u);
-  ImpatientBench unanswered;
-  EXPECT_EQ(unanswered.sent(4, 100).size(), 1u);
-  unanswered.forwarder.on_timer(TimePoint{5099});
-  EXPECT_TRUE(unanswered.told.empty());
-  unanswered.forwarder.on_timer(TimePoint{5100});
-  EXPECT_EQ(unanswered.told, (std::vector<std::int64_t>{504}));
+TEST(EditForwarder, AnEditThatIsTooOldIsNeitherSentNorAppliedLocally) {
+  TimedForwarder fixture;
+  EXPECT_EQ(fixture.sent(4, 100).size(), 1u);
+  EXPECT_TRUE(fixture.sent(4, 800).empty());
+  EXPECT_TRUE(fixture.sent(5, 900).empty());
+  EXPECT_TRUE(fixture.forwarder.take_back(TimePoint{900}).empty());
+  fixture.forwarder.on_timer(TimePoint{900});
+  EXPECT_TRUE(fixture.responses.empty());  // the copy that was sent may be applied
+  fixture.forwarder.on_response(EditResponse{7, 0, 0, "", 4, 9000}, TimePoint{1000});
+  fixture.forwarder.on_timer(TimePoint{1000});
+  EXPECT_EQ(fixture.responses, (std::vector<std::int64_t>{503}));
+  TimedForwarder fresh;
+  EXPECT_EQ(fresh.forwarder.take_back(TimePoint{799}).size(), 1u);
+  TimedForwarder without_response;
+  EXPECT_EQ(without_response.sent(4, 100).size(), 1u);
+  without_response.forwarder.on_timer(TimePoint{5099});
+  EXPECT_TRUE(without_response.responses.empty());
+  without_response.forwarder.on_timer(TimePoint{5100});
+  EXPECT_EQ(without_response.responses, (std::vector<std::int64_t>{504}));
 }
 
-TEST(EditForwarder, WithoutALeaderItIsRefusedBeforeItsAskerLeaves) {
-  ImpatientBench bench;
-  bench.forwarder.on_timer(TimePoint{699});
-  EXPECT_TRUE(bench.told.empty());
-  bench.forwarder.on_timer(TimePoint{700});
-  EXPECT_EQ(bench.told, (std::vector<std::int64_t>{503}));
+TEST(EditForwarder, WithoutALeaderAnEditIsRefusedBeforeItsClientTimesOut) {
+  TimedForwarder fixture;
+  fixture.forwarder.on_timer(TimePoint{699});
+  EXPECT_TRUE(fixture.responses.empty());
+  fixture.forwarder.on_timer(TimePoint{700});
+  EXPECT_EQ(fixture.responses, (std::vector<std::int64_t>{503}));
 }
 
-TEST(EditForwarder, WhatWaitsWhenTheDaemonEndsIsRefusedOrUnknown) {
-  ImpatientBench unsent, sent;
+TEST(EditForwarder, EditsThatWaitWhenTheDaemonEndsAreRefusedOrUnknown) {
+  TimedForwarder unsent, sent;
   EXPECT_EQ(unsent.forwarder.end_all().size(), 1u);
-  EXPECT_EQ(unsent.told, (std::vector<std::int64_t>{503}));
+  EXPECT_EQ(unsent.responses, (std::vector<std::int64_t>{503}));
   EXPECT_EQ(sent.sent(4, 100).size(), 1u);
   EXPECT_EQ(sent.forwarder.end_all().size(), 1u);
-  EXPECT_EQ(sent.told, (std::vector<std::int64_t>{504}));
+  EXPECT_EQ(sent.responses, (std::vector<std::int64_t>{504}));
   EXPECT_TRUE(sent.forwarder.waiting().empty());
 }
 
 // Timers of 25 ms.
-TEST(PauseDetector, WhatIsReadSoonAfterAPauseMayBeOld) {
+TEST(PauseDetector, RequestsReadSoonAfterAPauseMayBeOld) {
   PauseDetector pauses;
   pauses.start(TimePoint{0});
   pauses.on_timer(TimePoint{25});
@@ -233,6 +226,9 @@
   EXPECT_TRUE(pauses.may_read_old_requests(TimePoint{1050}, TimePoint{10}));
   for (std::int64_t ms = 1051; ms <= 1301; ms += 25)
     pauses.on_timer(TimePoint{ms});
-  EXPECT_TRUE(pauses.may_read_old_requests(TimePoint{1310}, TimePoint{10}));  // no majority has answered since
+  EXPECT_TRUE(pauses.may_read_old_requests(TimePoint{1310}, TimePoint{10}));  // no majority has responded since
   EXPECT_FALSE(pauses.may_read_old_requests(TimePoint{1310}, TimePoint{1002}));
 }
+
+}  // namespace
+}  // namespace emberdale
--- a/packages/control-plane/tests/master_edits_test.cpp
+++ b/packages/control-plane/tests/master_edits_test.cpp
@@ -1,4 +1,4 @@
-// Orders at the leader: one that comes again is answered as before, and an id has one order.
+// Zone orders at the leader: one that comes again gets the response of before, and an idempotency key has one content.
 #include "emberdale/master_edits.hpp"
 
 #include <gtest/gtest.h>
@@ -7,14 +7,13 @@
 #include "emberdale/change_identity.hpp"
 #include "emberdale/register_acceptor.hpp"
 
-using namespace emberdale;
-
+namespace emberdale {
 namespace {
 
 const Address self{"leader"}, peer{"peer"};
 constexpr TimePoint now{20000};
 
-EditRequest order(const std::string& change, const std::string& zone, const std::string& state = "emptied") {
+EditRequest zone_order(const std::string& change, const std::string& zone, const std::string& state = "emptied") {
   EditRequest request;
   request.change_id = change;
   request.term = 1;  // the leader's
@@ -26,7 +25,7 @@
   return request;
 }
 
-// A leader in its first term and a register of one copy beside it.
+// A leader in its first term, with a register of one replica.
 class Leader {
  public:
   explicit Leader(std::vector<CompletedChange> done = {}) {
@@ -93,63 +92,64 @@
   return election;
 }
 
-}  // namespace
-
-TEST(OrderIdentity, IsTheContentAndNotTheWay) {
-  EditRequest request = order("id", "z1"), copy = request;
-  copy.request_id = 9;
-  copy.term = 3;
-  copy.change_id = "another";
-  EXPECT_EQ(change_digest(request), change_digest(copy));
-  EXPECT_FALSE(change_digest(request) == change_digest(order("id", "z2")));
+TEST(ChangeDigest, IsOfTheContentAndNotOfHowItCame) {
+  EditRequest request = zone_order("id", "z1"), repeated = request;
+  repeated.request_id = 9;
+  repeated.term = 3;
+  repeated.change_id = "another";
+  EXPECT_EQ(change_digest(request), change_digest(repeated));
+  EXPECT_FALSE(change_digest(request) == change_digest(zone_order("id", "z2")));
   EditRequest split = request;
   split.action = "put\n1";  // no boundary between the parts can be moved
   EXPECT_FALSE(change_digest(request) == change_digest(split));
-  copy = request;
-  copy.expected_version = 4;
-  EXPECT_FALSE(change_digest(request) == change_digest(copy));
+  repeated = request;
+  repeated.expected_version = 4;
+  EXPECT_FALSE(change_digest(request) == change_digest(repeated));
 }
 
-TEST(OrderIdentity, AnOrderOfAnEarlierVersionIsKnownByItsIdAlone) {
-  EditRequest request = order("id", "z1");
+TEST(ChangeDigest, AChangeOfAnEarlierSoftwareVersionIsRecognizedByItsIdAlone) {
+  EditRequest request = zone_order("id", "z1");
   EXPECT_EQ(find_completed_change({}, request).memory, IdempotencyStatus::not_done);
   EXPECT_EQ(find_completed_change({{"id", 5, 6, {}}}, request).memory, IdempotencyStatus::done);
   EXPECT_EQ(find_completed_change({{"id", 5, 6, {}}}, request).version, 5);
   EXPECT_EQ(find_completed_change({{"id", 5, 6, change_digest(request)}}, request).memory, IdempotencyStatus::done);
-  EXPECT_EQ(find_completed_change({{"id", 5, 6, change_digest(order("id", "z2"))}}, request).memory,
+  EXPECT_EQ(find_completed_change({{"id", 5, 6, change_digest(zone_order("id", "z2"))}}, request).memory,
             IdempotencyStatus::conflicting_id);
 }
 
-TEST(MasterEdits, AnOrderSentAgainIsAcknowledgedAndDoneOnce) {
+TEST(MasterEdits, AChangeSentAgainIsAcknowledgedAndAppliedOnce) {
   Leader leader;
-  leader.take(order("one", "z1"));
+  leader.take(zone_order("one", "z1"));
   EXPECT_EQ(leader.run(), (std::vector<std::int64_t>{201}));
   std::int64_t revision = leader.state().config_revision;
-  leader.take(order("one", "z1"));
+  leader.take(zone_order("one", "z1"));
   EXPECT_EQ(leader.run(), (std::vector<std::int64_t>{201}));
   EXPECT_EQ(leader.state().config_revision, revision);
   EXPECT_EQ(leader.state().completed_changes.size(), 1u);
-  // A leader that has answered nothing yet finds it in the register.
+  // A leader that has not handled it itself finds it in the register.
   Leader next(leader.state().completed_changes);
-  next.take(order("one", "z1"));
+  next.take(zone_order("one", "z1"));
   EXPECT_EQ(next.run(), (std::vector<std::int64_t>{200}));
   EXPECT_EQ(next.state().completed_changes.size(), 1u);
 }
 
-TEST(MasterEdits, AnIdThatComesWithAnotherContentIsRefusedAndChangesNothing) {
+TEST(MasterEdits, AKnownIdWithAnotherContentIsRefusedAndChangesNothing) {
   Leader leader;
-  leader.take(order("one", "z1"));
-  leader.take(order("one", "z2"));  // while the first is in hand
+  leader.take(zone_order("one", "z1"));
+  leader.take(zone_order("one", "z2"));  // while the first is pending
   EXPECT_EQ(leader.run(), (std::vector<std::int64_t>{409, 201}));
-  leader.take(order("one", "z2"));  // after it was answered
+  leader.take(zone_order("one", "z2"));  // after its response
   EXPECT_EQ(leader.run(), (std::vector<std::int64_t>{409}));
   ASSERT_EQ(leader.state().resources.size(), 1u);
   EXPECT_EQ(leader.state().resources[0].name, "z1");
   EXPECT_EQ(leader.counts().conflicting_ids, 2);
   EXPECT_EQ(leader.journal().counts().at("doubled_id"), 1);
   Leader next(leader.state().completed_changes);  // known from the register alone
-  next.take(order("one", "z2"));
+  next.take(zone_order("one", "z2"));
   EXPECT_EQ(next.run(), (std::vector<std::int64_t>{409}));
   EXPECT_TRUE(next.state().resources.empty());
   EXPECT_EQ(next.counts().conflicting_ids, 1);
 }
+
+}  // namespace
+}  // namespace emberdale
--- a/packages/control-plane/tests/membership_test.cpp
+++ b/packages/control-plane/tests/membership_test.cpp
@@ -1,11 +1,10 @@
-// The set of replicas as machines leave, are lost and come: learners, hand-over, its size, its rate of change.
+// The replica set as machines leave, are lost and come: learners, succession, its size and its rate of change.
 // Virtual time, many seeds.
 #include <iostream>
 
 #include "support/machine_fleet.hpp"
 
-using namespace emberdale;
-
+namespace emberdale {
 namespace {
 
 struct LeaverCase {
@@ -13,7 +12,7 @@
 };
 
 // Of three machines one is stopped in order, and another loses its power after it has ended.
-// Gives the time from that loss to the next edit that is acknowledged; 15 s is the end of patience.
+// Gives the time from that loss to the next edit that is acknowledged; 15 s at most are waited for.
 std::int64_t outage_after_leaver(std::uint64_t seed, const LeaverCase& tried, bool does_leave_in_order) {
   MachineFleet fleet(seed);
   auto names = bring_up(fleet, 3);
@@ -26,7 +25,7 @@
     fleet.stop(names[leaver]);
   else
     fleet.kill(names[leaver]);
-  EXPECT_TRUE(fleet.run_until([&] { return !fleet.at(names[leaver]).is_up; }, 8000)) << fleet.story();
+  EXPECT_TRUE(fleet.run_until([&] { return !fleet.at(names[leaver]).is_up; }, 8000)) << fleet.trace();
   fleet.run(tried.loss_after);
   std::string second = names[(leaver + 1 + seed / 3 % 2) % 3];
   fleet.power_cut(second);
@@ -35,7 +34,7 @@
   std::int64_t outage = fleet.now() - lost_at;
   for (const auto& name : {names[leaver], second})
     fleet.start(name, false);
-  EXPECT_TRUE(fleet.edit_until_done(15000)) << fleet.story();
+  EXPECT_TRUE(fleet.edit_until_done(15000)) << fleet.trace();
   fleet.expect_nothing_lost("new");
   return outage;
 }
@@ -53,7 +52,7 @@
     if (act)
       act();
     fleet.run(step);
-    if (!fleet.has_living_majority())
+    if (!fleet.has_live_majority())
       watched.without_majority += step;
     auto found = fleet.newest_state().acceptors;
     bool is_same = std::equal(set.begin(), set.end(), found.begin(), found.end(),
@@ -87,9 +86,7 @@
   return change ? change->kind + " " + change->detail() : "nothing";
 }
 
-}  // namespace
-
-TEST(MembershipPlan, TheWantedSizeIsOddAndBearsTheLosses) {
+TEST(MembershipPlan, TheWantedSizeIsOddAndToleratesTheLosses) {
   for (std::size_t lost : {0u, 1u, 2u, 3u, 4u, 50u}) {
     std::size_t size = MembershipPolicy{lost}.wanted_members();
     EXPECT_EQ(size % 2, 1u);
@@ -101,7 +98,7 @@
   }
 }
 
-TEST(MembershipPlan, TheSetGrowsToOddSizesAloneAndOverZones) {
+TEST(MembershipPlan, TheSetGrowsToOddSizesOnlyAndOverZones) {
   std::vector<MemberView> three{member("a0", "a"), member("b0", "b"), member("c0", "c")};
   EXPECT_EQ(show(plan_growth(three, {learner("a1", "a"), learner("b1", "b")}, {1})), "nothing");
   EXPECT_EQ(show(plan_growth(three, {learner("a1", "a")}, {2})), "nothing");
@@ -126,7 +123,7 @@
   EXPECT_EQ(show(plan_hand_over(entry("b0"), four, {}, {2})), "nothing");
 }
 
-TEST(MembershipPlan, DeadMembersLeaveOnlyWhereTheMajorityGetsSmaller) {
+TEST(MembershipPlan, DeadMembersAreRemovedOnlyIfTheMajorityGetsSmaller) {
   std::vector<MemberView> five{member("a", "a"), member("b", "b"), member("c", "c"), member("d", "d"),
                                member("e", "e", false)};
   EXPECT_EQ(show(plan_drop(five)), "nothing");
@@ -141,7 +138,7 @@
 }
 
 // Whatever is planned for whatever has been lost: where it may begin, the living alone are a majority of both sets.
-TEST(MembershipPlan, NoChangeThatMayBeginNeedsMachinesThatAreGone) {
+TEST(MembershipPlan, NoChangeThatMayBeginNeedsLostMachines) {
   RandomGenerator random(7);
   int begun = 0;
   for (int round = 0; round < 20000; ++round) {
@@ -179,41 +176,41 @@
 }
 
 // The loss that follows a leaver finds the leaver's successor in its place, however soon it comes.
-TEST(Membership, ALeaverHandsItsPlaceOverBeforeItEnds) {
+TEST(Membership, AStoppingMemberIsReplacedBeforeItEnds) {
   for (const LeaverCase& tried : {LeaverCase{4000, 100}, LeaverCase{4000, 1000}, LeaverCase{4000, 3000},
                                   LeaverCase{9000, 100}, LeaverCase{9000, 3000}, LeaverCase{12000, 6000}}) {
     std::int64_t longest = 0, without_majority = 0;
-    for (std::uint64_t seed = 1; seed <= seeds / 3; ++seed) {
+    for (std::uint64_t seed = 1; seed <= seed_count / 3; ++seed) {
       std::int64_t outage = outage_after_leaver(seed, tried, true);
       longest = std::max(longest, outage);
-      EXPECT_LT(outage, seed % 2 == 0 ? 8000 : 9000);  // the election takes longer over long links
+      EXPECT_LT(outage, seed % 2 == 0 ? 8000 : 9000);  // the election takes longer over slow connections
       without_majority += outage >= 15000 ? 1 : 0;
     }
     std::cout << "successor ran for " << tried.successor_ran_for << " ms, loss " << tried.loss_after
               << " ms after the leaver's end: longest outage " << longest << " ms, without a majority in "
-              << without_majority << " of " << seeds / 3 << " seeds\n";
+              << without_majority << " of " << seed_count / 3 << " seeds\n";
     EXPECT_EQ(without_majority, 0);
   }
 }
 
-// Beside a full set a newcomer is a learner: it votes on nothing, but holds each value. What comes first, the leaver or
+// Beside a full set a newcomer is a learner: it has no vote, but receives each value. What comes first, the leaver or
 // the loss, and how long it was there, makes no difference.
 TEST(Membership, ANewcomerBesideAFullSetIsALearner) {
-  for (std::uint64_t seed = 1; seed <= seeds / 3; ++seed) {
+  for (std::uint64_t seed = 1; seed <= seed_count / 3; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     MachineFleet fleet(seed);
     auto names = bring_up(fleet, 3);
     fleet.add("new", "b", false);
     fleet.start("new", false);
     Watched watched = watch(fleet, 14000);
-    EXPECT_EQ(watched.changes, 0) << fleet.story();
-    EXPECT_TRUE(fleet.has_set("new", names)) << fleet.story();
+    EXPECT_EQ(watched.changes, 0) << fleet.trace();
+    EXPECT_TRUE(fleet.has_set("new", names)) << fleet.trace();
     EXPECT_TRUE(fleet.edit_until_done(4000));
-    EXPECT_TRUE(fleet.run_until([&] { return fleet.is_synced_learner("new", names[0]); }, 2000)) << fleet.story();
+    EXPECT_TRUE(fleet.run_until([&] { return fleet.is_synced_learner("new", names[0]); }, 2000)) << fleet.trace();
     fleet.kill(names[seed % 3]);
-    EXPECT_TRUE(fleet.run_until([&] { return fleet.is_member("new", "new"); }, 4500)) << fleet.story();
+    EXPECT_TRUE(fleet.run_until([&] { return fleet.is_member("new", "new"); }, 4500)) << fleet.trace();
     fleet.power_cut(names[(seed + 1) % 3]);
-    EXPECT_TRUE(fleet.edit_until_done(15000)) << fleet.story();
+    EXPECT_TRUE(fleet.edit_until_done(15000)) << fleet.trace();
     fleet.expect_nothing_lost("new");
     if (HasFailure())
       return;
@@ -221,19 +218,19 @@
 }
 
 // A machine that is stopped and started again, without a successor, ends as quickly as before and keeps its place.
-TEST(Membership, WithoutALearnerALeaverEndsAtOnce) {
-  for (std::uint64_t seed = 1; seed <= seeds / 3; ++seed) {
+TEST(Membership, WithoutALearnerAStoppingMemberEndsAtOnce) {
+  for (std::uint64_t seed = 1; seed <= seed_count / 3; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     MachineFleet fleet(seed);
     auto names = bring_up(fleet, 3);
     for (const auto& name : names) {
-      std::int64_t asked = fleet.now();
+      std::int64_t stopped_at = fleet.now();
       fleet.stop(name);
       EXPECT_TRUE(fleet.run_until([&] { return !fleet.at(name).is_up; }, 8000));
-      EXPECT_LE(fleet.now() - asked, 320) << fleet.story();
+      EXPECT_LE(fleet.now() - stopped_at, 320) << fleet.trace();
       fleet.run(1000);
       fleet.start(name, false);
-      EXPECT_TRUE(fleet.run_until([&] { return fleet.is_settled(names); }, 8000)) << fleet.story();
+      EXPECT_TRUE(fleet.run_until([&] { return fleet.is_settled(names); }, 8000)) << fleet.trace();
     }
     fleet.expect_nothing_lost(names[0]);
     if (HasFailure())
@@ -241,24 +238,24 @@
   }
 }
 
-// Six machines are stopped and started again in turn: the learner takes each place, and nobody is ever asked back in
+// Six machines are stopped and started again in turn: the learner takes each place, and no one is added back
 // while it ends.
 TEST(Membership, ARollingRestartOfSixNeverLosesTheMajority) {
-  for (std::uint64_t seed = 1; seed <= seeds / 3; ++seed) {
+  for (std::uint64_t seed = 1; seed <= seed_count / 3; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     MachineFleet fleet(seed);
     auto names = bring_up(fleet, 6);
     fleet.run(2000);
     for (const auto& name : names) {
-      std::int64_t asked = fleet.now();
+      std::int64_t stopped_at = fleet.now();
       fleet.stop(name);
       EXPECT_TRUE(fleet.run_until([&] { return !fleet.at(name).is_up; }, 8000));
-      EXPECT_LE(fleet.now() - asked, 1500) << fleet.story();
-      EXPECT_FALSE(fleet.is_member(name, fleet.running().front())) << fleet.story();
-      EXPECT_EQ(watch(fleet, 1000).without_majority, 0) << fleet.story();
-      EXPECT_FALSE(fleet.is_member(name, fleet.running().front())) << fleet.story();
+      EXPECT_LE(fleet.now() - stopped_at, 1500) << fleet.trace();
+      EXPECT_FALSE(fleet.is_member(name, fleet.running().front())) << fleet.trace();
+      EXPECT_EQ(watch(fleet, 1000).without_majority, 0) << fleet.trace();
+      EXPECT_FALSE(fleet.is_member(name, fleet.running().front())) << fleet.trace();
       fleet.start(name, false);
-      EXPECT_TRUE(fleet.run_until([&] { return fleet.is_settled(names); }, 9000)) << fleet.story();
+      EXPECT_TRUE(fleet.run_until([&] { return fleet.is_settled(names); }, 9000)) << fleet.trace();
     }
     EXPECT_TRUE(fleet.edit_until_done(4000));
     fleet.expect_nothing_lost(names[0]);
@@ -268,13 +265,13 @@
 }
 
 // Members that see each other silent, though others hear both, are not swapped back and forth.
-TEST(Membership, DisturbedMembersAreNotSwappedBackAndForth) {
+TEST(Membership, MembersWithPassingFaultsAreNotSwappedBackAndForth) {
   enum class Kind { one_way_cuts, cut_connections, slow_disk, short_pauses, long_pauses };
   for (Kind kind :
        {Kind::one_way_cuts, Kind::cut_connections, Kind::slow_disk, Kind::short_pauses, Kind::long_pauses}) {
     int most = 0;
     std::int64_t without_majority = 0;
-    for (std::uint64_t seed = 1; seed <= seeds / 8; ++seed) {
+    for (std::uint64_t seed = 1; seed <= seed_count / 8; ++seed) {
       SCOPED_TRACE("kind " + std::to_string(static_cast<int>(kind)) + " seed " + std::to_string(seed));
       MachineFleet fleet(seed);
       auto names = bring_up(fleet, 3);
@@ -292,7 +289,7 @@
       if (kind == Kind::cut_connections)
         fleet.cut_connection(one, other);
       if (kind == Kind::slow_disk)
-        fleet.at(one).disk_delay = 3000;
+        fleet.at(one).extra_disk_ms = 3000;
       std::int64_t next_pause = fleet.now();
       Watched watched = watch(fleet, 60000, [&] {
         if (kind < Kind::short_pauses || fleet.now() < next_pause)
@@ -307,9 +304,9 @@
       if (kind < Kind::short_pauses)
         without_majority = std::max(without_majority, watched.without_majority);
       fleet.heal();
-      fleet.at(one).disk_delay = 0;
+      fleet.at(one).extra_disk_ms = 0;
       fleet.run(6000);
-      EXPECT_TRUE(fleet.edit_until_done(15000)) << fleet.story();
+      EXPECT_TRUE(fleet.edit_until_done(15000)) << fleet.trace();
       fleet.expect_nothing_lost(one);
     }
     std::cout << "kind " << static_cast<int>(kind) << ": most changes of the set in 60 s " << most
@@ -321,10 +318,10 @@
 
 // Machines leave in order, die, freeze, lose their disks or are replaced, in any order, while no more than the policy
 // allows are away at once (a machine counts as away for a while after it is back): the living always have a majority.
-TEST(Membership, NoOrderOfLossesAndChangesTakesTheMajorityAway) {
+TEST(Membership, NoSequenceOfLossesAndChangesLosesTheMajority) {
   for (int count : {3, 6}) {
     std::int64_t longest = 0;
-    for (std::uint64_t seed = 1; seed <= seeds / 5; ++seed) {
+    for (std::uint64_t seed = 1; seed <= seed_count / 5; ++seed) {
       SCOPED_TRACE(std::to_string(count) + " machines seed " + std::to_string(seed));
       MachineFleet fleet(seed);
       auto names = bring_up(fleet, count);
@@ -365,21 +362,22 @@
           names[which] = fresh;
         without_majority += watch(fleet, catch_up).without_majority;
         longest = std::max(longest, without_majority);
-        EXPECT_EQ(without_majority, 0) << "round " << round << " kind " << kind << " " << name << "\n" << fleet.story();
+        EXPECT_EQ(without_majority, 0) << "round " << round << " kind " << kind << " " << name << "\n" << fleet.trace();
         if (HasFailure())
           return;
       }
-      EXPECT_TRUE(fleet.edit_until_done(15000)) << fleet.story();
+      EXPECT_TRUE(fleet.edit_until_done(15000)) << fleet.trace();
       fleet.expect_nothing_lost(fleet.running().front());
     }
     std::cout << count << " machines: longest without a living majority " << longest << " ms\n";
   }
 }
 
-// Control daemons without a disk keep no replica: they may be seeds, found the fleet, lead it, and decide on the set.
+// Control daemons without a disk keep no replica: they may be seeds, bootstrap the fleet, lead it, and decide on the
+// set.
 TEST(Membership, MachinesWithoutADiskTakePartWithoutAReplica) {
   for (std::size_t diskless : {0u, 2u})
-    for (std::uint64_t seed = 1; seed <= seeds / 3; ++seed) {
+    for (std::uint64_t seed = 1; seed <= seed_count / 3; ++seed) {
       SCOPED_TRACE("diskless " + std::to_string(diskless) + " seed " + std::to_string(seed));
       MachineFleet fleet(seed);
       auto names = fleet.add_many(6);
@@ -391,17 +389,17 @@
       auto is_whole = [&] {
         return !fleet.master().empty() && fleet.has_wanted_set(names[diskless], stores);
       };
-      EXPECT_TRUE(fleet.run_until(is_whole, 12000)) << fleet.story();
-      EXPECT_EQ(fleet.bootstraps(), 1) << fleet.story();
+      EXPECT_TRUE(fleet.run_until(is_whole, 12000)) << fleet.trace();
+      EXPECT_EQ(fleet.bootstraps(), 1) << fleet.trace();
       fleet.run(2000);
-      // The loss of a replica is mended, whoever leads; the loss of one more takes no majority away.
+      // A lost replica is replaced, whoever leads; the loss of one more leaves a majority.
       std::string lost = fleet.is_member(stores[0], names[diskless]) ? stores[0] : stores[1];
       fleet.power_cut(lost);
       stores.erase(std::find(stores.begin(), stores.end(), lost));
       EXPECT_TRUE(fleet.run_until([&] { return fleet.has_wanted_set(names[diskless], stores); }, 9000))
-          << fleet.story();
-      EXPECT_TRUE(fleet.has_living_majority());
-      EXPECT_TRUE(fleet.edit_until_done(15000)) << fleet.story();
+          << fleet.trace();
+      EXPECT_TRUE(fleet.has_live_majority());
+      EXPECT_TRUE(fleet.edit_until_done(15000)) << fleet.trace();
       fleet.expect_nothing_lost(names[diskless]);
       if (HasFailure())
         return;
@@ -409,23 +407,26 @@
 }
 
 // Two disks in each of three zones, and two machines or one zone may be lost: five replicas, two a zone at most.
-TEST(Membership, TwoDisksAZoneBearTheLossOfTwoMachinesOrOfAZone) {
+TEST(Membership, TwoDisksAZoneTolerateTheLossOfTwoMachinesOrOfAZone) {
   for (bool is_zone_lost : {false, true})
-    for (std::uint64_t seed = 1; seed <= seeds / 3; ++seed) {
+    for (std::uint64_t seed = 1; seed <= seed_count / 3; ++seed) {
       SCOPED_TRACE("seed " + std::to_string(seed));
       MachineFleet fleet(seed);
       auto names = bring_up(fleet, 6);
-      ASSERT_EQ(fleet.newest_state().acceptors.size(), 5u) << fleet.story();
+      ASSERT_EQ(fleet.newest_state().acceptors.size(), 5u) << fleet.trace();
       std::size_t first = static_cast<std::size_t>(fleet.random().below(3)), second = first + 3;
       if (!is_zone_lost)
         second = 3 + (first + 1) % 3;
       fleet.power_cut(names[first]);
       fleet.power_cut(names[second]);
       Watched watched = watch(fleet, 6000);
-      EXPECT_EQ(watched.without_majority, 0) << fleet.story();
-      EXPECT_TRUE(fleet.edit_until_done(15000)) << fleet.story();
+      EXPECT_EQ(watched.without_majority, 0) << fleet.trace();
+      EXPECT_TRUE(fleet.edit_until_done(15000)) << fleet.trace();
       fleet.expect_nothing_lost(fleet.running().front());
       if (HasFailure())
         return;
     }
 }
+
+}  // namespace
+}  // namespace emberdale
--- a/packages/control-plane/tests/one_process_test.cpp
+++ b/packages/control-plane/tests/one_process_test.cpp
@@ -1,26 +1,28 @@
-// Machines that each run one control process: core machine and edge daemon at once. They found the fleet, keep
-// the register and mend its set of copies without an operator. Virtual time, many seeds, disks in memory.
+// Machines that each run one control process: core machine and edge daemon at once. They bootstrap the fleet,
+// run the register and replace its replicas without an operator. Virtual time, many seeds, disks in memory.
+#include "emberdale/avro_codec.hpp"
 #include "support/machine_fleet.hpp"
 
-using namespace emberdale;
+namespace emberdale {
+namespace {
 
-TEST(OneProcess, ThreeAndSixMachinesFoundTheFleetByThemselves) {
+TEST(OneProcess, ThreeAndSixMachinesBootstrapTheFleet) {
   for (int count : {1, 2, 3, 6, 9})
-    for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
+    for (std::uint64_t seed = 1; seed <= seed_count; ++seed) {
       SCOPED_TRACE("machines " + std::to_string(count) + " seed " + std::to_string(seed));
       MachineFleet fleet(seed);
       auto names = bring_up(fleet, count);
       fleet.run(10000);
-      EXPECT_TRUE(fleet.is_settled(names)) << fleet.story();
-      EXPECT_EQ(fleet.bootstraps(), 1) << fleet.story();
+      EXPECT_TRUE(fleet.is_settled(names)) << fleet.trace();
+      EXPECT_EQ(fleet.bootstraps(), 1) << fleet.trace();
       fleet.expect_nothing_lost(names.back());
       if (HasFailure())
         return;
     }
 }
 
-TEST(OneProcess, FoundingWaitsForASeedThatStartsLate) {
-  for (std::uint64_t seed = 1; seed <= seeds; ++seed)
+TEST(OneProcess, BootstrapWaitsForASeedThatStartsLate) {
+  for (std::uint64_t seed = 1; seed <= seed_count; ++seed)
     for (std::size_t late : {0u, 1u, 2u, 5u}) {
       SCOPED_TRACE("late " + std::to_string(late) + " seed " + std::to_string(seed));
       MachineFleet fleet(seed);
@@ -32,17 +34,17 @@
       EXPECT_EQ(fleet.bootstraps(), late < 3 ? 0 : 1);
       fleet.start(names[late], true);
       // One that is no seed comes as a newcomer, and is added once it has been there for a while.
-      EXPECT_TRUE(fleet.run_until([&] { return fleet.is_settled(names); }, late < 3 ? 4000 : 8000)) << fleet.story();
+      EXPECT_TRUE(fleet.run_until([&] { return fleet.is_settled(names); }, late < 3 ? 4000 : 8000)) << fleet.trace();
       EXPECT_EQ(fleet.bootstraps(), 1);
-      EXPECT_TRUE(fleet.edit_until_done(4000)) << fleet.story();
+      EXPECT_TRUE(fleet.edit_until_done(4000)) << fleet.trace();
       fleet.expect_nothing_lost(names[0]);
       if (HasFailure())
         return;
     }
 }
 
-TEST(OneProcess, AFoundingCutOffHalfWayIsFinished) {
-  // The founder, or another seed, loses its power at any moment of the founding and comes back with its disk.
+TEST(OneProcess, AnInterruptedBootstrapIsFinished) {
+  // The bootstrapping seed, or another, loses its power at any moment of the bootstrap and returns with its disk.
   for (std::size_t lost : {0u, 1u})
     for (std::int64_t at = 395; at < 445; ++at) {
       SCOPED_TRACE("lost " + std::to_string(lost) + " at " + std::to_string(at));
@@ -54,18 +56,18 @@
       fleet.power_cut(names[lost]);
       fleet.run(1500);
       fleet.start(names[lost], true);
-      EXPECT_TRUE(fleet.run_until([&] { return fleet.is_settled(names); }, 12000)) << fleet.story();
-      EXPECT_LE(fleet.bootstraps(), 1) << fleet.story();
-      EXPECT_TRUE(fleet.edit_until_done(4000)) << fleet.story();
+      EXPECT_TRUE(fleet.run_until([&] { return fleet.is_settled(names); }, 12000)) << fleet.trace();
+      EXPECT_LE(fleet.bootstraps(), 1) << fleet.trace();
+      EXPECT_TRUE(fleet.edit_until_done(4000)) << fleet.trace();
       fleet.expect_nothing_lost(names[2]);
       if (HasFailure())
         return;
     }
 }
 
-TEST(OneProcess, AFleetIsFoundedOverALossyNetwork) {
+TEST(OneProcess, AFleetIsBootstrappedOverALossyNetwork) {
   for (int count : {3, 6})
-    for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
+    for (std::uint64_t seed = 1; seed <= seed_count; ++seed) {
       SCOPED_TRACE(std::to_string(count) + " machines seed " + std::to_string(seed));
       MachineFleet fleet(seed);
       fleet.loss = 0.15;
@@ -75,16 +77,16 @@
         fleet.start(name, true);
       fleet.run(5000);
       fleet.loss = 0;
-      EXPECT_TRUE(fleet.run_until([&] { return fleet.is_settled(names); }, 15000)) << fleet.story();
-      EXPECT_LE(fleet.bootstraps(), 1) << fleet.story();
-      EXPECT_TRUE(fleet.edit_until_done(4000)) << fleet.story();
+      EXPECT_TRUE(fleet.run_until([&] { return fleet.is_settled(names); }, 15000)) << fleet.trace();
+      EXPECT_LE(fleet.bootstraps(), 1) << fleet.trace();
+      EXPECT_TRUE(fleet.edit_until_done(4000)) << fleet.trace();
       fleet.expect_nothing_lost(names[0]);
       if (HasFailure())
         return;
     }
 }
 
-TEST(OneProcess, OnlyASeedFounds) {
+TEST(OneProcess, OnlyASeedBootstraps) {
   RegisterProposer proposer(Address{"a"}, RandomGenerator(1));
   EventJournal journal{8};
   ClusterBootstrapper outsider(proposer, journal, Address{"a"}, {Address{"b"}, Address{"c"}}, RandomGenerator(1));
@@ -97,9 +99,9 @@
   EXPECT_TRUE(larger.drain_outbound().empty());
 }
 
-TEST(OneProcess, AFleetIsNeverFoundedOverAnother) {
-  // The smallest seed comes back wiped and is wrongly told that this is the first start.
-  for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
+TEST(OneProcess, AFleetIsNeverBootstrappedOverAnother) {
+  // The smallest seed returns wiped and is wrongly configured for a first start.
+  for (std::uint64_t seed = 1; seed <= seed_count; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     MachineFleet fleet(seed);
     auto names = bring_up(fleet, 3);
@@ -107,8 +109,8 @@
     fleet.wipe(names[0]);
     fleet.run(fleet.random().below(4000));
     fleet.start(names[0], true);
-    EXPECT_TRUE(fleet.run_until([&] { return fleet.is_settled(names); }, 8000)) << fleet.story();
-    EXPECT_EQ(fleet.bootstraps(), 1) << fleet.story();
+    EXPECT_TRUE(fleet.run_until([&] { return fleet.is_settled(names); }, 8000)) << fleet.trace();
+    EXPECT_EQ(fleet.bootstraps(), 1) << fleet.trace();
     fleet.expect_nothing_lost(names[0]);
     if (HasFailure())
       return;
@@ -118,7 +120,7 @@
 TEST(OneProcess, AMachineIsReplacedByAnEmptyOneAtANewAddress) {
   for (int count : {3, 6})
     for (bool is_master_lost : {true, false})
-      for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
+      for (std::uint64_t seed = 1; seed <= seed_count; ++seed) {
         SCOPED_TRACE(std::to_string(count) +
                      (is_master_lost ? " machines, the master lost, seed " : " machines, a follower lost, seed ") +
                      std::to_string(seed));
@@ -139,29 +141,29 @@
         auto is_admitted = [&] {
           return !fleet.master().empty() && fleet.has_wanted_set(fleet.master(), names);
         };
-        EXPECT_TRUE(fleet.run_until([&] { return fleet.has_wanted_set("new", names); }, 4000)) << fleet.story();
-        std::int64_t patience =
+        EXPECT_TRUE(fleet.run_until([&] { return fleet.has_wanted_set("new", names); }, 4000)) << fleet.trace();
+        std::int64_t timeout_ms =
             is_master_lost ? 9000 : 4500;  // from the newcomer's start; with its master, the fleet elects another first
-        EXPECT_TRUE(fleet.run_until([&] { return fleet.is_settled(names); }, begun + patience - fleet.now()))
-            << fleet.story();
+        EXPECT_TRUE(fleet.run_until([&] { return fleet.is_settled(names); }, begun + timeout_ms - fleet.now()))
+            << fleet.trace();
         EXPECT_TRUE(is_admitted());
-        EXPECT_TRUE(fleet.edit_until_done(4000)) << fleet.story();
+        EXPECT_TRUE(fleet.edit_until_done(4000)) << fleet.trace();
         // Another one dies: with the newcomer there is still a majority.
         std::string second =
             names[static_cast<std::size_t>(fleet.random().below(static_cast<std::int64_t>(names.size())))];
         fleet.power_cut(second);
-        EXPECT_TRUE(fleet.edit_until_done(20000)) << "killed " << second << "\n" << fleet.story();
+        EXPECT_TRUE(fleet.edit_until_done(20000)) << "killed " << second << "\n" << fleet.trace();
         fleet.expect_nothing_lost(fleet.running().front());
         if (HasFailure())
           return;
       }
 }
 
-// Two empty machines come at the same time for one that is gone: one takes its place, the other is a learner. Of six
+// Two empty machines come at the same time for one that is lost: one takes its place, the other is a learner. Of six
 // machines the learner that was there before takes it.
-TEST(OneProcess, TwoNewcomersRaceForOnePlace) {
+TEST(OneProcess, TwoNewMachinesCompeteForOnePlace) {
   for (int count : {3, 6})
-    for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
+    for (std::uint64_t seed = 1; seed <= seed_count; ++seed) {
       SCOPED_TRACE(std::to_string(count) + " machines seed " + std::to_string(seed));
       MachineFleet fleet(seed);
       auto names = bring_up(fleet, count);
@@ -180,9 +182,9 @@
           return fleet.has_wanted_set("new0", names);
         return fleet.has_set("new0", {names[0], names[1], "new1"}) || fleet.has_set("new1", others);
       };
-      EXPECT_TRUE(fleet.run_until(is_replaced, 4000)) << fleet.story();
-      EXPECT_TRUE(fleet.run_until([&] { return fleet.is_settled(names); }, 15000)) << fleet.story();
-      EXPECT_TRUE(fleet.edit_until_done(4000)) << fleet.story();
+      EXPECT_TRUE(fleet.run_until(is_replaced, 4000)) << fleet.trace();
+      EXPECT_TRUE(fleet.run_until([&] { return fleet.is_settled(names); }, 15000)) << fleet.trace();
+      EXPECT_TRUE(fleet.edit_until_done(4000)) << fleet.trace();
       fleet.expect_nothing_lost("new1");
       if (HasFailure())
         return;
@@ -190,9 +192,9 @@
 }
 
 // The silent machine comes back, with its disk or without, just when a newcomer takes its place.
-TEST(OneProcess, TheOldMachineRacesWithItsSuccessor) {
+TEST(OneProcess, TheOldMachineCompetesWithItsSuccessor) {
   for (bool is_wiped : {false, true})
-    for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
+    for (std::uint64_t seed = 1; seed <= seed_count; ++seed) {
       SCOPED_TRACE(std::string(is_wiped ? "wiped" : "with its disk") + " seed " + std::to_string(seed));
       MachineFleet fleet(seed);
       auto names = bring_up(fleet, 3);
@@ -206,8 +208,8 @@
       fleet.run(1300 + fleet.random().below(500));
       fleet.start(names[lost], false);
       names.push_back("new");  // whoever lost the race is a learner
-      EXPECT_TRUE(fleet.run_until([&] { return fleet.is_settled(names); }, 20000)) << fleet.story();
-      EXPECT_TRUE(fleet.edit_until_done(4000)) << fleet.story();
+      EXPECT_TRUE(fleet.run_until([&] { return fleet.is_settled(names); }, 20000)) << fleet.trace();
+      EXPECT_TRUE(fleet.edit_until_done(4000)) << fleet.trace();
       fleet.expect_nothing_lost(names[lost]);
       if (HasFailure())
         return;
@@ -215,7 +217,7 @@
 }
 
 // Data above what is chosen here is of another register: it would win, so it is kept out.
-TEST(OneProcess, AStoreOfAnotherRegisterIsKeptOut) {
+TEST(OneProcess, AStoreOfAnotherRegisterIsNotAdmitted) {
   FleetState state;
   state.fleet_name = "emberdale";
   for (const char* name : {"a", "b", "c"})
@@ -224,10 +226,10 @@
   proposer.learn_acceptors(state.acceptors);
   auto hear_set = [&](MembershipReconciler& reconciler, const std::set<std::string>& living, TimePoint now) {
     proposer.poll(now, "edge", true);
-    std::int64_t ask = std::get<ReadRequest>(proposer.drain_outbound().front().message).request_id;
+    std::int64_t request_id = std::get<ReadRequest>(proposer.drain_outbound().front().message).request_id;
     for (const auto& name : living) {
       ReadResponse response;
-      response.request_id = ask;
+      response.request_id = request_id;
       response.store.text = name;
       response.accepted = Ballot{20, Address{"a"}};
       response.value.data = encode_state(state);
@@ -267,21 +269,21 @@
   EXPECT_EQ(due_with(21, false, 7000), "overtaking");  // it may be a write of this register that went no further
 }
 
-// Master after master is lost without a word: no term waits for an elder's.
-TEST(OneProcess, NoEditWaitsForAnElderLeadersLease) {
-  for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
+// Master after master is lost without notice: no term waits for the lease of a previous one.
+TEST(OneProcess, NoEditWaitsForThePreviousLeadersLease) {
+  for (std::uint64_t seed = 1; seed <= seed_count; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     MachineFleet fleet(seed);
     auto names = bring_up(fleet, 3);
     for (int term = 0; term < 4; ++term) {
       std::string lost = fleet.master();
       fleet.kill(lost);
-      EXPECT_TRUE(fleet.run_until([&] { return !fleet.master().empty(); }, 6000)) << fleet.story();
+      EXPECT_TRUE(fleet.run_until([&] { return !fleet.master().empty(); }, 6000)) << fleet.trace();
       auto outcome = fleet.edit(fleet.master());
-      EXPECT_TRUE(fleet.run_until([&] { return outcome->is_acknowledged(); }, 300)) << outcome->code << fleet.story();
+      EXPECT_TRUE(fleet.run_until([&] { return outcome->is_acknowledged(); }, 300)) << outcome->code << fleet.trace();
       EXPECT_EQ(fleet.state(fleet.master()).acknowledgement_wait_ms, 0);
       fleet.start(lost, false);
-      EXPECT_TRUE(fleet.run_until([&] { return fleet.is_settled(names); }, 8000)) << fleet.story();
+      EXPECT_TRUE(fleet.run_until([&] { return fleet.is_settled(names); }, 8000)) << fleet.trace();
     }
     fleet.expect_nothing_lost(names[0]);
     if (HasFailure())
@@ -289,8 +291,8 @@
   }
 }
 
-TEST(OneProcess, EveryMachineIsReplacedInTurnAndAnOldOneComesBackWithItsDisk) {
-  for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
+TEST(OneProcess, EveryMachineIsReplacedInTurnAndAnOldOneReturnsWithItsDisk) {
+  for (std::uint64_t seed = 1; seed <= seed_count; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     MachineFleet fleet(seed);
     auto names = bring_up(fleet, 3);
@@ -301,17 +303,17 @@
       fleet.add(fresh, fleet.at(names[i]).zone.text, false);
       fleet.start(fresh, false);
       names[i] = fresh;
-      EXPECT_TRUE(fleet.run_until([&] { return fleet.is_settled(names); }, 20000)) << fleet.story();
-      EXPECT_TRUE(fleet.edit_until_done(8000)) << fleet.story();
+      EXPECT_TRUE(fleet.run_until([&] { return fleet.is_settled(names); }, 20000)) << fleet.trace();
+      EXPECT_TRUE(fleet.edit_until_done(8000)) << fleet.trace();
       if (HasFailure())
         return;
     }
-    // Its disk names a set that is gone whole.
+    // Its disk names a set of which no member is left.
     fleet.set_seeds(fleet.at(old[0]));
     fleet.start(old[0], false);
     names.push_back(old[0]);
-    EXPECT_TRUE(fleet.run_until([&] { return fleet.is_settled(names); }, 20000)) << fleet.story();
-    EXPECT_TRUE(fleet.edit_until_done(8000)) << fleet.story();
+    EXPECT_TRUE(fleet.run_until([&] { return fleet.is_settled(names); }, 20000)) << fleet.trace();
+    EXPECT_TRUE(fleet.edit_until_done(8000)) << fleet.trace();
     fleet.expect_nothing_lost(old[0]);
     if (HasFailure())
       return;
@@ -319,7 +321,7 @@
 }
 
 TEST(OneProcess, AWipedMachineIsAdmittedAndTheOthersMayLoseTheirPower) {
-  for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
+  for (std::uint64_t seed = 1; seed <= seed_count; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     MachineFleet fleet(seed);
     auto names = bring_up(fleet, 3);
@@ -327,10 +329,10 @@
     fleet.power_cut(names[wiped]);
     fleet.wipe(names[wiped]);
     fleet.run(fleet.random().below(2000));
-    EXPECT_TRUE(fleet.edit_until_done(9000)) << fleet.story();
+    EXPECT_TRUE(fleet.edit_until_done(9000)) << fleet.trace();
     fleet.start(names[wiped], false);
-    EXPECT_TRUE(fleet.run_until([&] { return fleet.has_set(names[wiped], names); }, 1500)) << fleet.story();
-    EXPECT_TRUE(fleet.edit_until_done(9000)) << fleet.story();
+    EXPECT_TRUE(fleet.run_until([&] { return fleet.has_set(names[wiped], names); }, 1500)) << fleet.trace();
+    EXPECT_TRUE(fleet.edit_until_done(9000)) << fleet.trace();
     for (std::size_t i = 0; i < 3; ++i)
       if (i != wiped)
         fleet.power_cut(names[i]);
@@ -338,16 +340,16 @@
     for (std::size_t i = 0; i < 3; ++i)
       if (i != wiped)
         fleet.start(names[i], false);
-    EXPECT_TRUE(fleet.edit_until_done(12000)) << fleet.story();
+    EXPECT_TRUE(fleet.edit_until_done(12000)) << fleet.trace();
     fleet.expect_nothing_lost(names[wiped]);
     if (HasFailure())
       return;
   }
 }
 
-TEST(OneProcess, AZoneIsCutOffAndComesBack) {
+TEST(OneProcess, AZoneIsCutOffAndReturns) {
   for (int count : {3, 6})
-    for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
+    for (std::uint64_t seed = 1; seed <= seed_count; ++seed) {
       SCOPED_TRACE(std::to_string(count) + " machines seed " + std::to_string(seed));
       MachineFleet fleet(seed);
       auto names = bring_up(fleet, count);
@@ -363,10 +365,10 @@
         fleet.run_until([&] { return outcome->is_over; }, 8000);
         is_acknowledged = outcome->is_acknowledged();
       }
-      EXPECT_TRUE(is_acknowledged) << fleet.story();
+      EXPECT_TRUE(is_acknowledged) << fleet.trace();
       EXPECT_FALSE(alone->is_acknowledged());
       fleet.heal();
-      EXPECT_TRUE(fleet.run_until([&] { return fleet.is_settled(names); }, 9000)) << fleet.story();
+      EXPECT_TRUE(fleet.run_until([&] { return fleet.is_settled(names); }, 9000)) << fleet.trace();
       EXPECT_TRUE(fleet.edit_until_done(4000));
       fleet.expect_nothing_lost(inside);
       if (HasFailure())
@@ -374,26 +376,26 @@
     }
 }
 
-TEST(OneProcess, AllAreKilledAtOnceAndComeBackWithTheirDisks) {
+TEST(OneProcess, AllAreKilledAtOnceAndReturnWithTheirDisks) {
   for (int count : {3, 6})
     for (bool loses_power : {true, false})
-      for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
+      for (std::uint64_t seed = 1; seed <= seed_count; ++seed) {
         SCOPED_TRACE(std::to_string(count) + " machines seed " + std::to_string(seed));
         MachineFleet fleet(seed);
         auto names = bring_up(fleet, count);
         for (int i = 0; i < 3; ++i)
           EXPECT_TRUE(fleet.edit_until_done(4000));
-        fleet.edit(names[0]);  // one more in hand
+        fleet.edit(names[0]);  // one more pending
         fleet.run(fleet.random().below(30));
         for (const auto& name : names)
           loses_power ? fleet.power_cut(name) : fleet.kill(name);
         fleet.run(500);
         for (const auto& name : names)
           fleet.start(name, false);
-        EXPECT_TRUE(fleet.run_until([&] { return !fleet.master().empty(); }, 6000)) << fleet.story();
-        EXPECT_TRUE(fleet.edit_until_done(4000)) << fleet.story();
+        EXPECT_TRUE(fleet.run_until([&] { return !fleet.master().empty(); }, 6000)) << fleet.trace();
+        EXPECT_TRUE(fleet.edit_until_done(4000)) << fleet.trace();
         fleet.run(4000);
-        EXPECT_TRUE(fleet.is_settled(names)) << fleet.story();
+        EXPECT_TRUE(fleet.is_settled(names)) << fleet.trace();
         fleet.expect_nothing_lost(names[1]);
         if (HasFailure())
           return;
@@ -402,16 +404,16 @@
 
 // Six machines of which two may be lost: five replicas and a learner. Machines are lost one after another, and at each
 // time the living keep a majority: the learner comes in, then two dead members leave at once.
-TEST(OneProcess, DeadMembersLeaveTheSetSoThatTheLivingKeepTheirMajority) {
-  for (std::uint64_t seed = 1; seed <= seeds / 3; ++seed) {
+TEST(OneProcess, DeadMembersAreRemovedSoThatTheOthersKeepTheirMajority) {
+  for (std::uint64_t seed = 1; seed <= seed_count / 3; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     MachineFleet fleet(seed);
     auto names = bring_up(fleet, 6);
-    ASSERT_EQ(fleet.state(names[0]).acceptors.size(), 5u) << fleet.story();
+    ASSERT_EQ(fleet.state(names[0]).acceptors.size(), 5u) << fleet.trace();
     fleet.power_cut(names[5]);
     fleet.power_cut(names[4]);
     names.resize(4);
-    EXPECT_TRUE(fleet.edit_until_done(20000)) << fleet.story();
+    EXPECT_TRUE(fleet.edit_until_done(20000)) << fleet.trace();
     // One of them was the learner, or has been replaced by it: four of five live, and one more may be lost.
     fleet.run(15000);
     EXPECT_EQ(fleet.state(names[0]).acceptors.size(), 5u);
@@ -419,23 +421,23 @@
         std::count_if(names.begin(), names.end(), [&](const auto& name) { return fleet.is_member(name, names[0]); }),
         4);
     fleet.power_cut(names[3]);
-    EXPECT_TRUE(fleet.edit_until_done(20000)) << fleet.story();
+    EXPECT_TRUE(fleet.edit_until_done(20000)) << fleet.trace();
     // Both dead members leave; three stay, however long one of them is silent.
     names.resize(3);
-    EXPECT_TRUE(fleet.run_until([&] { return fleet.is_settled(names); }, 60000)) << fleet.story();
+    EXPECT_TRUE(fleet.run_until([&] { return fleet.is_settled(names); }, 60000)) << fleet.trace();
     EXPECT_EQ(fleet.state(names[0]).acceptors.size(), 3u);
     fleet.power_cut(names[2]);
     fleet.run(45000);
     EXPECT_EQ(fleet.state(names[0]).acceptors.size(), 3u);
-    EXPECT_TRUE(fleet.edit_until_done(20000)) << fleet.story();
+    EXPECT_TRUE(fleet.edit_until_done(20000)) << fleet.trace();
     fleet.expect_nothing_lost(names[0]);
     if (HasFailure())
       return;
   }
 }
 
-TEST(OneProcess, AFrozenDaemonThatWakesTakesNobodyForSilent) {
-  for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
+TEST(OneProcess, AFrozenDaemonThatResumesTakesNoOneForDead) {
+  for (std::uint64_t seed = 1; seed <= seed_count; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     MachineFleet fleet(seed);
     auto names = bring_up(fleet, 3);
@@ -446,16 +448,16 @@
     fleet.run(2000);
     fleet.freeze(names[1], false);
     fleet.run(2000);
-    EXPECT_EQ(fleet.story().find("replacing"), std::string::npos) << fleet.story();
+    EXPECT_EQ(fleet.trace().find("replacing"), std::string::npos) << fleet.trace();
     names.push_back("spare");
-    EXPECT_TRUE(fleet.run_until([&] { return fleet.is_settled(names); }, 12000)) << fleet.story();
+    EXPECT_TRUE(fleet.run_until([&] { return fleet.is_settled(names); }, 12000)) << fleet.trace();
     if (HasFailure())
       return;
   }
 }
 
-TEST(OneProcess, ACutLinkBetweenTwoTakesNoMajorityAway) {
-  for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
+TEST(OneProcess, ACutConnectionBetweenTwoLosesNoMajority) {
+  for (std::uint64_t seed = 1; seed <= seed_count; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     MachineFleet fleet(seed);
     auto names = bring_up(fleet, 3);
@@ -464,13 +466,13 @@
     fleet.run(1000);
     fleet.cut_connection(names[0], names[1]);
     for (int i = 0; i < 10; ++i) {
-      // Who can't reach the master hands nothing on; every other daemon does.
-      EXPECT_TRUE(fleet.edit_until_done(15000, names[2])) << fleet.story();
+      // A daemon that can't reach the master forwards nothing; all others do.
+      EXPECT_TRUE(fleet.edit_until_done(15000, names[2])) << fleet.trace();
       fleet.run(1500);
     }
     fleet.heal();
     names.push_back("spare");
-    EXPECT_TRUE(fleet.run_until([&] { return fleet.is_settled(names); }, 15000)) << fleet.story();
+    EXPECT_TRUE(fleet.run_until([&] { return fleet.is_settled(names); }, 15000)) << fleet.trace();
     fleet.expect_nothing_lost(names[0]);
     if (HasFailure())
       return;
@@ -479,9 +481,9 @@
 
 TEST(OneProcess, NothingIsLostWhileMachinesComeAndGoOverALossyNetwork) {
   // Machines lose their power, their disks, or are replaced for good, one after another, while edits go on: as
-  // long as at most one is away, and each change of the set has been seen whole before the next fault.
+  // long as at most one is away, and each change of the set is complete before the next fault.
   for (int count : {3, 6})
-    for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
+    for (std::uint64_t seed = 1; seed <= seed_count; ++seed) {
       SCOPED_TRACE(std::to_string(count) + " machines seed " + std::to_string(seed));
       MachineFleet fleet(seed);
       auto names = bring_up(fleet, count);
@@ -504,8 +506,8 @@
           names[which] = fresh;
         }
         fleet.start(names[which], false);
-        EXPECT_TRUE(fleet.edit_until_done(20000)) << fleet.story();
-        EXPECT_TRUE(fleet.run_until([&] { return fleet.is_settled(names); }, 30000)) << fleet.story();
+        EXPECT_TRUE(fleet.edit_until_done(20000)) << fleet.trace();
+        EXPECT_TRUE(fleet.run_until([&] { return fleet.is_settled(names); }, 30000)) << fleet.trace();
         EXPECT_TRUE(std::all_of(in_hand.begin(), in_hand.end(),
                                 [](const auto& outcome) { return outcome->is_over || outcome->code == 0; }));
         if (HasFailure())
@@ -517,3 +519,6 @@
         return;
     }
 }
+
+}  // namespace
+}  // namespace emberdale
--- a/packages/control-plane/tests/operator_wait_test.cpp
+++ b/packages/control-plane/tests/operator_wait_test.cpp
@@ -1,11 +1,10 @@
-// How long operators wait for an acknowledgement, and for a refusal, on days of cuts and stops: whole fleets under
+// How long operators wait for an acknowledgement, and for a refusal, in scenarios of cuts and stops: whole fleets under
 // virtual time. The figures are printed.
 #include <iostream>
 
 #include "support/machine_fleet.hpp"
 
-using namespace emberdale;
-
+namespace emberdale {
 namespace {
 
 // As the platform sets them for operators that go to another daemon after a second of silence.
@@ -69,7 +68,7 @@
   for (; fleet.now() - begun < 30000; ++turn) {
     const std::string& where = names[turn % names.size()];
     if (fleet.at(where).is_up) {
-      auto outcome = fleet.order(where, "z", true);
+      auto outcome = fleet.set_zone_state(where, "z", true);
       fleet.run_until([&] { return outcome->is_over; }, 1000);
       if (outcome->is_acknowledged())
         return fleet.now() - begun;
@@ -103,16 +102,14 @@
   return times;
 }
 
-}  // namespace
-
-TEST(OperatorWait, AnAcknowledgementComesSoonerWhereDaemonsSayThatTheyCanNot) {
+TEST(OperatorWait, AnAcknowledgementComesSoonerIfDaemonsRefuseWhatTheyCanNotForward) {
   for (std::int64_t delay : {1, 28})
     for (Trouble trouble : {Trouble::none, Trouble::follower_cut_off, Trouble::leader_cut_off, Trouble::leader_stops,
                             Trouble::follower_stops}) {
       SCOPED_TRACE(name_of(trouble) + " delay " + std::to_string(delay));
       Times before = times_of(trouble, kept_long(), delay);
       Times after = times_of(trouble, notified_early(), delay);
-      std::cout << name_of(trouble) << ", links of " << delay << " to " << 2 * delay << " ms: median "
+      std::cout << name_of(trouble) << ", connections of " << delay << " to " << 2 * delay << " ms: median "
                 << before.median() << " -> " << after.median() << ", worst " << before.worst() << " -> "
                 << after.worst() << " ms\n";
       EXPECT_LE(after.worst(), 5000);
@@ -120,8 +117,8 @@
     }
 }
 
-TEST(OperatorWait, ADaemonWithoutContactRefusesAtOnceAndServesAgainSoonAfter) {
-  for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
+TEST(OperatorWait, AnIsolatedDaemonRefusesAtOnceAndServesAgainSoonAfter) {
+  for (std::uint64_t seed = 1; seed <= seed_count; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     MachineFleet fleet(seed);
     fleet.edit_times = notified_early();
@@ -129,7 +126,7 @@
     std::string follower = follower_of(fleet, names);
     fleet.cut_zone(fleet.at(follower).zone.text);
     fleet.run(1500);
-    auto refused = fleet.order(follower, "z", true);
+    auto refused = fleet.set_zone_state(follower, "z", true);
     EXPECT_TRUE(refused->is_over);
     EXPECT_EQ(refused->code, 503);
     bool is_read = false, has_state = true;
@@ -142,15 +139,15 @@
     EXPECT_TRUE(is_read);
     EXPECT_FALSE(has_state);
     fleet.heal();
-    EXPECT_TRUE(fleet.edit_until_done(3000, follower)) << fleet.story();
+    EXPECT_TRUE(fleet.edit_until_done(3000, follower)) << fleet.trace();
     if (HasFailure())
       return;
   }
 }
 
-// What may have been sent is unknown, and is never told as refused.
-TEST(OperatorWait, ACopyThatIsOutWhenTheCutComesIsNeverToldAsRefused) {
-  for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
+// The result of an edit that may have been sent is unknown, and is never reported as refused.
+TEST(OperatorWait, AnEditThatWasSentBeforeTheCutIsNeverReportedAsRefused) {
+  for (std::uint64_t seed = 1; seed <= seed_count; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     MachineFleet fleet(seed);
     fleet.edit_times = notified_early();
@@ -159,24 +156,24 @@
     auto out = fleet.edit(follower);
     fleet.run(fleet.random().below(3));
     fleet.cut_zone(fleet.at(follower).zone.text);
-    EXPECT_TRUE(fleet.run_until([&] { return out->is_over; }, 7000)) << fleet.story();
-    EXPECT_TRUE(out->code == 504 || out->is_acknowledged()) << out->code << fleet.story();
+    EXPECT_TRUE(fleet.run_until([&] { return out->is_over; }, 7000)) << fleet.trace();
+    EXPECT_TRUE(out->code == 504 || out->is_acknowledged()) << out->code << fleet.trace();
     if (HasFailure())
       return;
   }
 }
 
-TEST(OperatorWait, ADaemonThatStopsRefusesAtOnceAndAnswersAllItHolds) {
+TEST(OperatorWait, AStoppingDaemonRefusesAtOnceAndRespondsToAllPendingRequests) {
   for (bool is_leader : {true, false})
-    for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
+    for (std::uint64_t seed = 1; seed <= seed_count; ++seed) {
       SCOPED_TRACE(std::string(is_leader ? "leader" : "follower") + " seed " + std::to_string(seed));
       MachineFleet fleet(seed);
       fleet.edit_times = notified_early();
       auto names = bring_up(fleet, 3);
       std::string stopping = is_leader ? fleet.master() : follower_of(fleet, names);
-      std::vector<std::shared_ptr<EditOutcome>> held;
+      std::vector<std::shared_ptr<EditOutcome>> pending;
       for (int i = 0; i < 3; ++i)
-        held.push_back(fleet.edit(stopping));
+        pending.push_back(fleet.edit(stopping));
       fleet.run(fleet.random().below(8));
       fleet.stop(stopping, 300);
       auto late = fleet.edit(stopping);
@@ -184,15 +181,18 @@
       EXPECT_EQ(late->code, 503);
       fleet.run(300);
       EXPECT_FALSE(fleet.at(stopping).is_up);
-      EXPECT_TRUE(fleet.edit_until_done(6000)) << fleet.story();
+      EXPECT_TRUE(fleet.edit_until_done(6000)) << fleet.trace();
       std::string leader = fleet.master();
-      for (const auto& outcome : held) {
-        EXPECT_TRUE(outcome->is_over) << fleet.story();
+      for (const auto& outcome : pending) {
+        EXPECT_TRUE(outcome->is_over) << fleet.trace();
         bool is_there = !fleet.body_of(leader, "runners", outcome->name).empty();
-        EXPECT_TRUE(is_there || !outcome->is_acknowledged()) << outcome->name << fleet.story();
-        EXPECT_FALSE(is_there && outcome->code == 503) << outcome->name << fleet.story();
+        EXPECT_TRUE(is_there || !outcome->is_acknowledged()) << outcome->name << fleet.trace();
+        EXPECT_FALSE(is_there && outcome->code == 503) << outcome->name << fleet.trace();
       }
       if (HasFailure())
         return;
     }
 }
+
+}  // namespace
+}  // namespace emberdale
--- a/packages/control-plane/tests/routing_table_edits_test.cpp
+++ b/packages/control-plane/tests/routing_table_edits_test.cpp
@@ -8,10 +8,9 @@
 
 #include "emberdale/avro_codec.hpp"
 
-using namespace emberdale;
-using Json = nlohmann::json;
-
+namespace emberdale {
 namespace {
+using Json = nlohmann::json;
 
 std::string table(std::int64_t revision, const std::string& prefix = "/x/") {
   return R"({"revision":)" + std::to_string(revision) +
@@ -23,7 +22,7 @@
   return EditRequest{1, "change", act, routing_table_kind, routing_table_name, base, body};
 }
 
-// A state that holds other resources as well, which no change of the table may touch.
+// A state that has other resources as well, which no change of the table may touch.
 FleetState blank_state() {
   FleetState state;
   state.resources = {{orders_kind, "a", 3, 4, R"({"state":"emptied"})"}, {routing_table_kind, "other", 5, 6, "kept"}};
@@ -56,8 +55,6 @@
   return text;
 }
 
-}  // namespace
-
 TEST(RoutingTableEdits, TheFirstTableIsAddedAndOthersStayAsTheyAre) {
   FleetState blank = blank_state();
   EXPECT_EQ(routing_table_document_of(blank), "");
@@ -75,7 +72,7 @@
   EXPECT_EQ(Json::parse(routing_table_document_of(after(blank, edit("replace", 0, table(7))))), Json::parse(table(7)));
 }
 
-TEST(RoutingTableEdits, OfTwoChangesOnOneBaseOneIsTaken) {
+TEST(RoutingTableEdits, OfTwoChangesOfOneExpectedVersionOneIsApplied) {
   FleetState state = after(blank_state(), edit("replace", 0, table(7)));
   FleetState won = after(state, edit("replace", 7, table(9, "/won/")));
   RoutingTableEditResult lost =
@@ -87,12 +84,12 @@
   EXPECT_EQ(Json::parse(routing_table_document_of(won)), Json::parse(table(9, "/won/")));
 }
 
-TEST(RoutingTableEdits, TheSameChangeAgainWritesNothingAlsoAfterOthers) {
+TEST(RoutingTableEdits, ARepeatedChangeWritesNothingAlsoAfterOthers) {
   FleetState state = after(blank_state(), edit("replace", 0, table(7)));
   state = after(state, edit("replace", 7, table(9)));
   state = after(state, edit("replace", 9, table(30)));
   EditRequest again = edit("replace", 7, table(9));
-  again.change_id = "sent-again";  // a copy from elsewhere has another id
+  again.change_id = "sent-again";  // a copy from another daemon has another id
   RoutingTableEditResult result = apply_routing_table_edit(state, again, state.config_revision + 1);
   EXPECT_EQ(result.edit.code, 200);
   EXPECT_TRUE(result.is_repeat);
@@ -100,7 +97,7 @@
   EXPECT_EQ(shown(result.edit.resources), shown(state.resources));
 }
 
-TEST(RoutingTableEdits, AChangeTooOldToTellIsNeitherAcknowledgedNorRefused) {
+TEST(RoutingTableEdits, AChangeOlderThanTheHistoryIsNeitherAcknowledgedNorRefused) {
   FleetState state = blank_state();
   for (std::int64_t revision = 1; revision <= 131; ++revision)
     state = after(state, edit("replace", revision - 1, table(revision)));
@@ -146,14 +143,17 @@
       {edit("put", 7, table(9)), 400},
       {edit("delete", 7, ""), 400},
   };
-  for (const auto& [ask, code] : refused) {
-    RoutingTableEditResult result = apply_routing_table_edit(state, ask, state.config_revision + 1);
-    EXPECT_EQ(result.edit.code, code) << ask.action << " " << ask.body;
-    EXPECT_EQ(shown(result.edit.resources), shown(state.resources)) << ask.body;
+  for (const auto& [request, code] : refused) {
+    RoutingTableEditResult result = apply_routing_table_edit(state, request, state.config_revision + 1);
+    EXPECT_EQ(result.edit.code, code) << request.action << " " << request.body;
+    EXPECT_EQ(shown(result.edit.resources), shown(state.resources)) << request.body;
     EXPECT_EQ(result.edit.deleted_version, state.deleted_version);
     EXPECT_EQ(result.edit.version, 7);
     EXPECT_FALSE(result.is_repeat);
     EXPECT_FALSE(result.edit.reason.empty());
-    EXPECT_EQ(result.edit.findings.empty(), code == 412) << ask.body;
+    EXPECT_EQ(result.edit.findings.empty(), code == 412) << request.body;
   }
 }
+
+}  // namespace
+}  // namespace emberdale
--- a/packages/control-plane/tests/runner_list_test.cpp
+++ b/packages/control-plane/tests/runner_list_test.cpp
@@ -1,15 +1,14 @@
-// The outside list of runners by hand: who is cold and for how long, and what a bad list may not do.
+// The runner list of service discovery: which runners warm up and for how long, and what a bad list may not do.
 #include "emberdale/runner_list.hpp"
 
 #include <gtest/gtest.h>
 
-using namespace emberdale;
-
+namespace emberdale {
 namespace {
 
 const TimePoint start{100000};
 
-TimePoint after(std::int64_t span) { return start + Duration{span}; }
+TimePoint after(std::int64_t duration_ms) { return start + Duration{duration_ms}; }
 
 ListedRunner listed(const std::string& name, const std::string& zone = "a", std::int64_t warmup_left = 0) {
   ListedRunner runner;
@@ -46,17 +45,15 @@
   return status_of(list, name, now).is_warming_up;
 }
 
-std::map<RunnerName, RunnerStatus> probed(const std::string& name, bool answers, bool is_warming_up) {
+std::map<RunnerName, RunnerStatus> probed(const std::string& name, bool is_reachable, bool is_warming_up) {
   RunnerStatus status;
   status.name.text = name;
-  status.is_reachable = answers;
+  status.is_reachable = is_reachable;
   status.is_warming_up = is_warming_up;
   return {{status.name, status}};
 }
 
-}  // namespace
-
-TEST(RunnerList, ItsEntriesAreWhatWasListed) {
+TEST(RunnerList, ItsEntriesAreThoseOfTheList) {
   RunnerList list = begun();
   EXPECT_FALSE(list.is_known());
   ListedRunner leaving = listed("r2", "b");
@@ -76,7 +73,7 @@
   EXPECT_EQ(list.entries().size(), 1u);
 }
 
-TEST(RunnerList, ColdByTheListCountsFromTheBeginOfItsReading) {
+TEST(RunnerList, WarmupByTheListCountsFromTheBeginOfItsReading) {
   RunnerList list = begun();
   list.take({listed("r1", "a", 3000), listed("r2")}, after(0), after(400));
   EXPECT_TRUE(is_warming_up(list, "r1", after(2999)));
@@ -90,7 +87,7 @@
   EXPECT_FALSE(is_warming_up(list, "r1", after(6800)));
 }
 
-TEST(RunnerList, ColdByAProbeAndNeverInAPoolThatKnowsNoCold) {
+TEST(RunnerList, WarmupByAProbeAndNeverInAPoolWithoutWarmup) {
   RunnerList list = begun();
   list.take({listed("r1", "a", 0)}, start, start);
   EXPECT_FALSE(status_of(list, "r1", start, probed("r1", true, false)).is_warming_up);
@@ -104,35 +101,35 @@
   EXPECT_FALSE(status_of(early, "r1", start, {}, 0).is_warming_up);
 }
 
-TEST(RunnerList, AListedRunnerAnswersUnlessAProbeSaysOtherwise) {
+TEST(RunnerList, AListedRunnerIsReachableUnlessAProbeSaysOtherwise) {
   RunnerList list = begun();
   ListedRunner bare = listed("r2");
   bare.slots = 0;
   list.take({listed("r1"), bare}, start, start);
   EXPECT_TRUE(status_of(list, "r1", start).is_reachable);
   EXPECT_FALSE(status_of(list, "r1", start, probed("r1", false, false)).is_reachable);
-  EXPECT_GT(status_of(list, "r2", start).capacity, 0);  // slots not told
+  EXPECT_GT(status_of(list, "r2", start).capacity, 0);  // without slots in the list
   std::map<RunnerName, RunnerStatus> statuses = probed("unlisted", true, false);
   list.fill(statuses, pools(), start);
   EXPECT_EQ(statuses.size(), 3u);
 }
 
-TEST(RunnerList, AZoneTakenBackCountsAsColdUntilTheListHasCaughtUp) {
+TEST(RunnerList, ARestoredZoneCountsAsWarmingUpUntilTheListHasCaughtUp) {
   RunnerList list = begun();
   list.take({listed("r1", "a"), listed("r2", "b")}, start, start);
   list.zone_taken_back(ZoneName{"a"}, after(100));
   EXPECT_TRUE(is_warming_up(list, "r1", after(100)));
   EXPECT_FALSE(is_warming_up(list, "r2", after(100)));
-  // A reading that began too early may still tell of before, whenever it ends.
+  // A reading that began too early may still show the state before, whenever it ends.
   TimePoint caught_up = after(100) + RunnerList::lag_allowed;
   list.take({listed("r1", "a"), listed("r2", "b")}, TimePoint{caught_up.value - 1}, after(5000));
   EXPECT_TRUE(is_warming_up(list, "r1", after(5000)));
   list.take({listed("r1", "a", 2000), listed("r2", "b")}, caught_up, after(5100));
-  EXPECT_TRUE(is_warming_up(list, "r1", caught_up + Duration{1999}));  // now by the list's own word
+  EXPECT_TRUE(is_warming_up(list, "r1", caught_up + Duration{1999}));  // now by the list itself
   EXPECT_FALSE(is_warming_up(list, "r1", caught_up + Duration{2000}));
 }
 
-TEST(RunnerList, AnEmptyListIsBelievedTheThirdTimeInARowOnly) {
+TEST(RunnerList, AnEmptyListIsAcceptedOnlyTheThirdTimeInARow) {
   RunnerList list = begun();
   list.take({listed("r1")}, start, start);
   for (int round = 0; round < 2; ++round) {
@@ -150,7 +147,7 @@
   EXPECT_TRUE(fresh.is_known());
 }
 
-TEST(RunnerList, AFailedReadingLeavesTheLastGoodListAndTheNextComesAtItsPace) {
+TEST(RunnerList, AFailedReadingKeepsTheLastGoodListAndTheNextComesAtItsInterval) {
   RunnerList list = begun();
   ASSERT_TRUE(list.is_read_due(start));
   list.take({listed("r1")}, start, after(100));
@@ -164,7 +161,7 @@
   EXPECT_TRUE(list.is_read_due(failed_at + RunnerList::read_pace));
 }
 
-TEST(RunnerList, AReadingThatNeverEndsIsBegunAnew) {
+TEST(RunnerList, AReadingThatNeverEndsIsStartedAgain) {
   RunnerList list = begun();
   ASSERT_TRUE(list.is_read_due(start));
   EXPECT_FALSE(list.is_read_due(after(2999)));
@@ -172,7 +169,7 @@
   EXPECT_FALSE(list.is_read_due(after(3001)));
 }
 
-TEST(RunnerList, ANewTermKnowsNothingAndReadsAtOnce) {
+TEST(RunnerList, ANewTermBeginsWithoutAListAndReadsAtOnce) {
   RunnerList list = begun();
   ASSERT_TRUE(list.is_read_due(start));
   list.take({listed("r1", "a", 60000)}, start, start);
@@ -189,3 +186,6 @@
   list.take({}, after(1000), after(1000));  // the empty lists of before don't count
   EXPECT_EQ(list.entries().size(), 1u);
 }
+
+}  // namespace
+}  // namespace emberdale
--- a/packages/control-plane/tests/zone_order_history_test.cpp
+++ b/packages/control-plane/tests/zone_order_history_test.cpp
@@ -1,13 +1,17 @@
-// Zone orders over days of cuts, restarts, wiped disks, races and lost answers: none takes effect after its caller was
-// answered, or after a later order was acknowledged.
+// Zone orders over scenarios of cuts, restarts, wiped disks, races and lost messages: none takes effect after its
+// client got a response, or after a later order was acknowledged.
 #include <gtest/gtest.h>
 
 #include "support/operator_scenario.hpp"
 
-using namespace emberdale;
+namespace emberdale {
+namespace {
 
-TEST(ZoneOrderHistory, OrdersAreLinearizableAndEndWithTheirCallers) {
+TEST(ZoneOrderHistory, OrdersAreLinearizableAndEndWithTheirRequests) {
   OperatorScenarioPlan plan;
   plan.configuration_share = 0.2;
-  expect_linearizable_days(plan);
+  expect_linearizable_scenarios(plan);
 }
+
+}  // namespace
+}  // namespace emberdale
--- a/packages/model-checker/src/fleet_walk.cpp
+++ b/packages/model-checker/src/fleet_walk.cpp
@@ -3,6 +3,7 @@
 #include <algorithm>
 #include <map>
 
+#include "emberdale/avro_codec.hpp"
 #include "emberdale/fingerprint.hpp"
 #include "support/machine_fleet.hpp"
 
@@ -113,7 +114,7 @@
   Machine& target = fleet.at(where);
   target.control->edit(
       request, [this, index](const EditResponse& response) { on_response(index, response.code, response.body); },
-      TimePoint{fleet.now() + target.clock});
+      fleet.clock(target));
   return index;
 }
 
