--- a/packages/call-routing/src/route_dispatcher.cpp
+++ b/packages/call-routing/src/route_dispatcher.cpp
@@ -573,6 +573,8 @@
       continue;
     silent.push_back(index);
   }
+  // The hash map's order differs from one process to the next, and the order decides who gets the last resend tokens.
+  std::sort(silent.begin(), silent.end());
   for (CallIndex index : silent) {
     auto entry = calls_.find(index);
     if (entry == calls_.end() || !entry->second.is_sent)
