--- a/packages/configuration-checker/src/main.cpp
+++ b/packages/configuration-checker/src/main.cpp
@@ -212,8 +212,9 @@
       }
       for (const auto& [kind, documents] : set.items()) {
         if (!is_kind(kind) || !documents.is_object()) {
-          auto [line, column] = place_in_text(*body, "/" + kind);
-          findings.push_back({"error", file, "/" + kind, line, column, "is no kind of resource with its documents"});
+          TextPosition position = position_in_document(*body, "/" + kind);
+          findings.push_back(
+              {"error", file, "/" + kind, position.line, position.column, "is no kind of resource with its documents"});
           continue;
         }
         for (const auto& [name, document] : documents.items())
@@ -232,12 +233,12 @@
     for (auto& finding : findings) {
       auto text = checked.find(finding.document);
       if (text != checked.end() && finding.line == 0)
-        std::tie(finding.line, finding.column) = place_in_text(text->second, finding.place);
+        set_position(finding, position_in_document(text->second, finding.place));
       // In a set, places are given in the set's own text.
       if (text != checked.end() && arguments["check-set"].asBool()) {
         auto slash = finding.document.find('/');
-        std::tie(finding.line, finding.column) = place_in_text(
-            *body, "/" + finding.document.substr(0, slash) + "/" + finding.document.substr(slash + 1) + finding.place);
+        set_position(finding, position_in_document(*body, "/" + finding.document.substr(0, slash) + "/" +
+                                                              finding.document.substr(slash + 1) + finding.place));
       }
     }
   }
--- a/packages/routing-table/src/change_history.cpp
+++ b/packages/routing-table/src/idempotency_history.cpp
@@ -1,4 +1,4 @@
-#include "emberdale/change_history.hpp"
+#include "emberdale/idempotency_history.hpp"
 
 #include <algorithm>
 
@@ -11,15 +11,16 @@
 
 constexpr std::size_t legacy_mark_size = 16;
 
-std::string identity_text(const RoutingTableChangeId& change) {
-  return change.act + "\n" + std::to_string(change.base) + "\n" + change.text;
+// The stored form of the key; digests and marks on disk are made from it.
+std::string key_text(const RoutingTableChangeKey& key) {
+  return key.action + "\n" + std::to_string(key.base) + "\n" + key.text;
 }
 
-std::string digest_of(const RoutingTableChangeId& change) { return content_digest(identity_text(change)); }
+std::string digest_of(const RoutingTableChangeKey& key) { return content_digest(key_text(key)); }
 
 // The mark that versions before SHA-256 kept: a 64-bit hash in hex.
-std::string legacy_mark_of(const RoutingTableChangeId& change) {
-  std::uint64_t hash = stable_hash(identity_text(change));
+std::string legacy_mark_of(const RoutingTableChangeKey& key) {
+  std::uint64_t hash = stable_hash(key_text(key));
   std::string mark(legacy_mark_size, '0');
   for (std::size_t i = mark.size(); i-- > 0; hash >>= 4)
     mark[i] = "0123456789abcdef"[hash & 15];
@@ -39,15 +40,15 @@
 
 }  // namespace
 
-ChangeHistory::Entry ChangeHistory::read_entry(const Json& stored) {
+IdempotencyHistory::Entry IdempotencyHistory::read_entry(const Json& stored) {
   if (!stored.is_object())
     return {};
   const Json& digest = member(stored, "digest");
   return {read_revision(member(stored, "revision")), digest.is_string() ? digest.get<std::string>() : ""};
 }
 
-ChangeHistory ChangeHistory::read(const Json& stored, std::int64_t current) {
-  ChangeHistory history;
+IdempotencyHistory IdempotencyHistory::read(const Json& stored, std::int64_t current_revision) {
+  IdempotencyHistory history;
   if (!stored.is_object())
     return history;
   history.forgotten_ = read_revision(member(stored, "forgotten"));
@@ -64,24 +65,24 @@
     history.forgotten_ = history.entries_.front().revision;
     history.entries_.erase(history.entries_.begin());
   }
-  if (!history.is_chain_to(current)) {
+  if (!history.is_chain_to(current_revision)) {
     history.entries_.clear();
-    history.forgotten_ = current;
+    history.forgotten_ = current_revision;
   }
   return history;
 }
 
-bool ChangeHistory::is_chain_to(std::int64_t current) const {
+bool IdempotencyHistory::is_chain_to(std::int64_t current_revision) const {
   std::int64_t newest = forgotten_;
   for (const Entry& entry : entries_) {
     if (entry.revision <= newest)
       return false;
     newest = entry.revision;
   }
-  return newest == current;
+  return newest == current_revision;
 }
 
-void ChangeHistory::write(Json& stored) const {
+void IdempotencyHistory::write(Json& stored) const {
   Json older = Json::array(), taken = Json::array();
   for (const Entry& entry : entries_) {
     if (entry.digest.empty() && taken.empty())
@@ -94,40 +95,46 @@
   stored["taken"] = std::move(taken);
 }
 
-ChangeHistoryStatus ChangeHistory::recall(const RoutingTableChangeId& change) const {
-  if (change.base < 0 || change.revision <= change.base)
-    return ChangeHistoryStatus::not_taken;
-  if (change.base < forgotten_)
-    return change.revision <= forgotten_ ? ChangeHistoryStatus::uncertain : ChangeHistoryStatus::not_taken;
-  // The one change that was taken on this base, if any: it made the revision after it.
+// The one change that was applied on this base, if any: the entry of the revision after it. Null also where the base is
+// known, and nothing was built on it.
+const IdempotencyHistory::Entry* IdempotencyHistory::entry_built_on(std::int64_t base) const {
   auto entry = entries_.begin();
-  if (change.base != forgotten_) {
-    entry = std::lower_bound(entries_.begin(), entries_.end(), change.base,
-                             [](const Entry& known, std::int64_t base) { return known.revision < base; });
-    if (entry == entries_.end() || entry->revision != change.base)
-      return ChangeHistoryStatus::not_taken;
+  if (base != forgotten_) {
+    entry = std::lower_bound(entries_.begin(), entries_.end(), base,
+                             [](const Entry& known, std::int64_t revision) { return known.revision < revision; });
+    if (entry == entries_.end() || entry->revision != base)
+      return nullptr;
     ++entry;
   }
-  if (entry == entries_.end() || entry->revision != change.revision)
-    return ChangeHistoryStatus::not_taken;
+  return entry == entries_.end() ? nullptr : &*entry;
+}
+
+IdempotencyHistoryStatus IdempotencyHistory::find(const RoutingTableChangeKey& key) const {
+  if (key.base < 0 || key.revision <= key.base)
+    return IdempotencyHistoryStatus::not_applied;
+  if (key.base < forgotten_)
+    return key.revision <= forgotten_ ? IdempotencyHistoryStatus::uncertain : IdempotencyHistoryStatus::not_applied;
+  const Entry* entry = entry_built_on(key.base);
+  if (entry == nullptr || entry->revision != key.revision)
+    return IdempotencyHistoryStatus::not_applied;
   if (entry->digest.size() == content_digest_size)
-    return entry->digest == digest_of(change) ? ChangeHistoryStatus::taken : ChangeHistoryStatus::not_taken;
+    return entry->digest == digest_of(key) ? IdempotencyHistoryStatus::applied : IdempotencyHistoryStatus::not_applied;
   if (entry->digest.size() == legacy_mark_size)
-    return entry->digest == legacy_mark_of(change) ? ChangeHistoryStatus::uncertain : ChangeHistoryStatus::not_taken;
-  return ChangeHistoryStatus::uncertain;
+    return entry->digest == legacy_mark_of(key) ? IdempotencyHistoryStatus::uncertain
+                                                : IdempotencyHistoryStatus::not_applied;
+  return IdempotencyHistoryStatus::uncertain;
 }
 
-bool ChangeHistory::newest_is_legacy_mark_of(const RoutingTableChangeId& change) const {
-  return !entries_.empty() && entries_.back().revision == change.revision &&
-         entries_.back().digest == legacy_mark_of(change);
+bool IdempotencyHistory::newest_is_legacy_mark_of(const RoutingTableChangeKey& key) const {
+  return !entries_.empty() && entries_.back().revision == key.revision && entries_.back().digest == legacy_mark_of(key);
 }
 
-void ChangeHistory::add(const RoutingTableChangeId& change) {
-  entries_.push_back({change.revision, digest_of(change)});
+void IdempotencyHistory::add(const RoutingTableChangeKey& key) {
+  entries_.push_back({key.revision, digest_of(key)});
   trim();
 }
 
-void ChangeHistory::trim() {
+void IdempotencyHistory::trim() {
   if (entries_.size() > digest_bound)
     for (auto entry = entries_.end() - static_cast<std::ptrdiff_t>(digest_bound); entry != entries_.begin();)
       (--entry)->digest.clear();
--- a/packages/routing-table/tests/change_history_test.cpp
+++ b/packages/routing-table/tests/idempotency_history_test.cpp
@@ -1,5 +1,5 @@
 // A change that was taken is never refused when it is sent again; one that was not is never acknowledged.
-#include "emberdale/change_history.hpp"
+#include "emberdale/idempotency_history.hpp"
 #include "emberdale/routing_table.hpp"
 
 #include <gtest/gtest.h>
@@ -72,7 +72,7 @@
 
 }  // namespace
 
-TEST(ChangeHistory, AMarkOf64BitsAloneAcknowledgesNothing) {
+TEST(IdempotencyHistory, AMarkOf64BitsAloneAcknowledgesNothing) {
   // What stands in force is one change; its mark is that of another, as after a collision.
   Order taken{"replace", 7, table_of(9, "/taken/")}, other{"replace", 7, table_of(9, "/other/")};
   std::string stored = legacy_stored(taken.body, {{7, "0000000000000000"}, {9, legacy_mark(other)}});
@@ -85,7 +85,7 @@
   EXPECT_FALSE(send(stored, amend).is_repeat);
 }
 
-TEST(ChangeHistory, WhatEarlierVersionsWroteIsStillRead) {
+TEST(IdempotencyHistory, WhatEarlierVersionsWroteIsStillRead) {
   // Written by the version before SHA-256: two changes, the newest a whole document.
   const std::string stored = R"({"document":{"pools":[{"name":"m"}],"revision":9,"routes":[]},"taken":[)"
                              R"({"digest":"42ac483429f4412a","revision":7},)"
@@ -104,7 +104,7 @@
   EXPECT_EQ(send(next.stored, first).code, 504);
 }
 
-TEST(ChangeHistory, AFullListOfAnEarlierVersionHadOthersBeforeIt) {
+TEST(IdempotencyHistory, AFullListOfAnEarlierVersionHadOthersBeforeIt) {
   std::vector<std::pair<std::int64_t, std::string>> marks;
   for (std::int64_t revision = 11; revision <= 138; ++revision)
     marks.push_back({revision, "00000000000000ff"});
@@ -115,7 +115,7 @@
   EXPECT_EQ(send(stored, {"replace", 4, table_of(200)}).code, 412);  // no revision 200 was ever made
 }
 
-TEST(ChangeHistory, TheDigestIsSha256OfActBaseAndText) {
+TEST(IdempotencyHistory, TheDigestIsSha256OfActBaseAndText) {
   std::string stored = send("", {"replace", 0, table_of(7)}).stored;
   EXPECT_EQ(Json::parse(stored)["taken"][0]["digest"].get<std::string>().size(), 64u);
   EXPECT_EQ(Json::parse(stored)["forgotten"], 0);
@@ -125,14 +125,14 @@
   EXPECT_EQ(send(stored, {"replace", 0, table_of(7, "/y/")}).code, 412);
 }
 
-TEST(ChangeHistory, PastTheDigestsTheRevisionsTellWhatCanNotHaveBeenTaken) {
-  const std::size_t whole = ChangeHistory::digest_bound + ChangeHistory::revision_bound;
+TEST(IdempotencyHistory, PastTheDigestsTheRevisionsTellWhatCanNotHaveBeenTaken) {
+  const std::size_t whole = IdempotencyHistory::digest_bound + IdempotencyHistory::revision_bound;
   Past past(whole + 10);
   std::vector<int> codes;
   for (const Order& order : past.orders)
     codes.push_back(send(past.stored, order).code);
   for (std::size_t i = 0; i < codes.size(); ++i)
-    EXPECT_EQ(codes[i], i + ChangeHistory::digest_bound >= codes.size() ? 200 : 504) << i;
+    EXPECT_EQ(codes[i], i + IdempotencyHistory::digest_bound >= codes.size() ? 200 : 504) << i;
   // With a digest, a different change on the same base is refused; without one it can't be told.
   auto at = [&](std::size_t i, std::int64_t step) {
     return send(past.stored,
@@ -144,12 +144,12 @@
   EXPECT_EQ(at(100, 2), 412);  // what was taken on 100 made 101
   EXPECT_EQ(at(5, 2), 504);    // no base is known there any more
   Json stored = Json::parse(past.stored);
-  EXPECT_EQ(stored["taken"].size(), ChangeHistory::digest_bound);
-  EXPECT_EQ(stored["older"].size(), ChangeHistory::revision_bound);
+  EXPECT_EQ(stored["taken"].size(), IdempotencyHistory::digest_bound);
+  EXPECT_EQ(stored["older"].size(), IdempotencyHistory::revision_bound);
   EXPECT_EQ(stored["forgotten"], 10);
 }
 
-TEST(ChangeHistory, AHistoryThatDoesNotLeadToTheDocumentIsNotReliedOn) {
+TEST(IdempotencyHistory, AHistoryThatDoesNotLeadToTheDocumentIsNotReliedOn) {
   Past past(5);
   for (const char* spoil : {R"({"taken":5})", R"({"taken":[]})", R"({"taken":[{"revision":5,"digest":"x"},7]})",
                             R"({"taken":[{"revision":5},{"revision":4}]})", R"({"forgotten":9})"}) {
@@ -199,7 +199,7 @@
 void check_answer(const HistoryModel& model, const Order& order, const RoutingTableChange& answer) {
   auto since = model.taken_since(order);
   if (since) {
-    RC_ASSERT(answer.code == (*since < ChangeHistory::digest_bound ? 200 : 504));
+    RC_ASSERT(answer.code == (*since < IdempotencyHistory::digest_bound ? 200 : 504));
     RC_ASSERT(answer.is_repeat == (answer.code == 200));
     RC_ASSERT(answer.revision == model.current);
     return;
@@ -233,7 +233,7 @@
 
 }  // namespace
 
-TEST(ChangeHistory, AnyOrderOfChangesAndResendsFollowsTheModel) {
+TEST(IdempotencyHistory, AnyOrderOfChangesAndResendsFollowsTheModel) {
   constexpr std::uint64_t sequences_per_seed = 30;  // with RapidCheck's 100 seeds: 3,000
   EXPECT_TRUE(rc::check([](std::uint64_t seed) {
     for (std::uint64_t i = 0; i < sequences_per_seed; ++i)
--- a/packages/routing-table/tests/routing_table_test.cpp
+++ b/packages/routing-table/tests/routing_table_test.cpp
@@ -344,11 +344,11 @@
   auto rows = split_routing_table(good_table().dump());
   std::vector<std::string> keys;
   for (const auto& row : rows)
-    keys.push_back(row.first);
+    keys.push_back(row.key);
   EXPECT_EQ(keys, (std::vector<std::string>{"limits", "pool/m", "pool/n", "revision", "route/r1", "route/r2"}));
-  EXPECT_EQ(read_route_pool(rows[1].second)->name.text, "m");
-  EXPECT_EQ(rows[3].second, "7");
-  EXPECT_EQ(read_route_document(rows[5].second)->path_prefix, "/x/y/");
+  EXPECT_EQ(read_route_pool(rows[1].body)->name.text, "m");
+  EXPECT_EQ(rows[3].body, "7");
+  EXPECT_EQ(read_route_document(rows[5].body)->path_prefix, "/x/y/");
   EXPECT_FALSE(read_route_document("{}"));
   auto limits = read_request_limits(R"({"max_header_bytes":5,"max_body_bytes":"x"})");
   EXPECT_EQ(limits.max_header_bytes, 5);
--- a/packages/serving-plans/include/emberdale/serving_plans.hpp
+++ b/packages/serving-plans/include/emberdale/serving_plans.hpp
@@ -5,6 +5,7 @@
 #include <string>
 #include <vector>
 
+#include "emberdale/json_source_map.hpp"
 #include "emberdale/messages.hpp"
 
 namespace emberdale {
@@ -18,6 +19,14 @@
   std::string message;
 };
 
+// Gives the finding its line and column.
+void set_position(Finding& finding, TextPosition position);
+// The position of the value that a finding's place names in a document that parses, or of the nearest value around it.
+// Keys in the place stand as they are, without the escapes of RFC 6901.
+// Example: position_in_document("{\n \"a\": 1}", "/a") == TextPosition{2, 7}
+TextPosition position_in_document(const std::string& body, const std::string& place);
+
+// The findings as a JSON array, for operators and their tools.
 // Example: {"severity":"error","document":"zone-orders/a","place":"/state","line":1,"column":11,...}
 std::string findings_json(const std::vector<Finding>& findings);
 bool has_errors(const std::vector<Finding>& findings);
@@ -63,10 +72,6 @@
 // Example: show_utc(1796173200) == "2026-12-02T01:00:00Z"
 std::string show_utc(std::int64_t seconds);
 
-// Line and column, from 1, of what a JSON pointer names in a text; {0, 0} if the text has none.
-// Example: place_in_text("{\n \"a\": 1}", "/a") == std::pair(2, 7)
-std::pair<int, int> place_in_text(const std::string& text, const std::string& pointer);
-
 struct RunnerEntry {
   RunnerName name;
   std::string http;
@@ -102,8 +107,10 @@
 // The rules between documents. Example: cross_check(configuration, findings)
 void cross_check(const Configuration& configuration, std::vector<Finding>& findings);
 
-// Documents are a few levels deep: what is nested without end would use up the stack of whoever walks it.
-// Example: is_too_deep("[[1]]") == false
+// The deepest nesting of objects and arrays that a document may have. Documents are a few levels deep; a text that is
+// nested without end would use up the stack of a recursive reader.
+inline constexpr std::size_t max_document_depth = 32;
+// Whether the text is nested deeper than max_document_depth. It need not be valid JSON.
 bool is_too_deep(const std::string& text);
 
 // JSON merge patch (RFC 7396). Example: *merge_patch(R"({"a":1})", R"({"a":null})") == "{}"
--- a/packages/serving-plans/src/configuration_edit.cpp
+++ b/packages/serving-plans/src/configuration_edit.cpp
@@ -1,7 +1,6 @@
 // One declared change worked out on a state.
 #include <algorithm>
 #include <nlohmann/json.hpp>
-#include <tuple>
 #include <utility>
 
 #include "emberdale/json_text.hpp"
@@ -82,7 +81,7 @@
 void add_places(std::vector<Finding>& findings, const EditRequest& edit, const std::string& body) {
   for (auto& finding : findings)
     if (finding.line == 0 && finding.document == edit.kind + "/" + edit.name)
-      std::tie(finding.line, finding.column) = place_in_text(body, finding.place);
+      set_position(finding, position_in_document(body, finding.place));
 }
 
 }  // namespace
--- a/packages/serving-plans/src/document_reader.cpp
+++ b/packages/serving-plans/src/document_reader.cpp
@@ -32,7 +32,7 @@
 DocumentReader::DocumentReader(std::string document, const std::string& body, std::vector<Finding>& findings)
     : document_(std::move(document)), body_(body), findings_(findings), json_(Json::object()) {
   if (is_too_deep(body))
-    refuse_document(1, 1, "not JSON of a document: nested more than 32 deep");
+    refuse_document({1, 1}, "not JSON of a document: nested more than 32 deep");
   else
     parse();
 }
@@ -42,20 +42,18 @@
     json_ = Json::parse(body_);
   } catch (const Json::exception& fault) {  // a number out of range has no place
     const auto* parsing = dynamic_cast<const Json::parse_error*>(&fault);
-    std::size_t at = parsing == nullptr || parsing->byte == 0 ? 0 : parsing->byte - 1;
-    auto [line, column] = TextPlaces(body_, false).line_and_column(at);
-    refuse_document(line, column, "not JSON: " + parser_reason(fault));
+    std::size_t byte = parsing == nullptr || parsing->byte == 0 ? 0 : parsing->byte - 1;
+    refuse_document(position_of_byte(body_, byte), "not JSON: " + parser_reason(fault));
     return;
   }
-  places_.emplace(body_);
+  source_map_.emplace(body_, PointerSyntax::verbatim);
   if (json_.is_object())
     return;
-  auto [line, column] = places_->of("");
-  refuse_document(line, column, "the document must be an object");
+  refuse_document(source_map_->position_of(""), "the document must be an object");
 }
 
-void DocumentReader::refuse_document(int line, int column, const std::string& message) {
-  findings_.push_back({"error", document_, "", line, column, message});
+void DocumentReader::refuse_document(TextPosition position, const std::string& message) {
+  findings_.push_back({"error", document_, "", position.line, position.column, message});
   ++errors_;
   json_ = Json::object();
   is_readable_ = false;
@@ -63,8 +61,8 @@
 
 void DocumentReader::error(const std::string& place, const std::string& message) {
   ++errors_;
-  auto [line, column] = places_ ? places_->of(place) : std::pair<int, int>{0, 0};
-  findings_.push_back({"error", document_, place, line, column, message});
+  TextPosition position = source_map_ ? source_map_->position_of(place) : TextPosition{};
+  findings_.push_back({"error", document_, place, position.line, position.column, message});
 }
 
 const DocumentReader::Json* DocumentReader::find(const std::string& place) {
@@ -99,7 +97,7 @@
   return value->get<std::string>();
 }
 
-bool DocumentReader::answer(const std::string& place, bool otherwise) {
+bool DocumentReader::boolean(const std::string& place, bool otherwise) {
   const Json* value = find(place);
   if (value == nullptr)
     return otherwise;
--- a/packages/serving-plans/src/document_reader.hpp
+++ b/packages/serving-plans/src/document_reader.hpp
@@ -7,8 +7,8 @@
 #include <string>
 #include <vector>
 
+#include "emberdale/json_source_map.hpp"
 #include "emberdale/serving_plans.hpp"
-#include "text_places.hpp"
 
 namespace emberdale {
 
@@ -32,7 +32,7 @@
   // The value at the place, or nothing. It counts as known from now on.
   const Json* find(const std::string& place);
   std::string text(const std::string& place, bool is_required, const std::string& otherwise = "");
-  bool answer(const std::string& place, bool otherwise);
+  bool boolean(const std::string& place, bool otherwise);
   std::int64_t number(const std::string& place, std::int64_t otherwise, std::int64_t low, std::int64_t high);
   // What nobody asked for is a mistake of the writer: refused, not ignored. Open maps may have any keys.
   void refuse_unknown(const std::set<std::string>& open_maps = {}) { refuse_unknown_in(json_, "", open_maps); }
@@ -41,14 +41,14 @@
 
  private:
   void parse();
-  void refuse_document(int line, int column, const std::string& message);
+  void refuse_document(TextPosition position, const std::string& message);
   void refuse_unknown_in(const Json& object, const std::string& at, const std::set<std::string>& open_maps);
 
   std::string document_;
   const std::string& body_;
   std::vector<Finding>& findings_;
   Json json_;
-  std::optional<TextPlaces> places_;
+  std::optional<JsonSourceMap> source_map_;  // none until the document has been parsed
   std::set<std::string> known_;
   int errors_ = 0;
   bool is_readable_ = true;
--- a/packages/serving-plans/src/documents.cpp
+++ b/packages/serving-plans/src/documents.cpp
@@ -61,10 +61,10 @@
 }
 
 void read_treatment(DocumentReader& reader, ServingPlan& plan) {
-  plan.may_spill = reader.answer("/spill/allowed", false);
+  plan.may_spill = reader.boolean("/spill/allowed", false);
   plan.spill_percent = reader.number("/spill/limit_percent", plan.may_spill ? 50 : 0, 0, 100);
-  plan.is_repeatable = reader.answer("/repeatable", false);
-  plan.is_streaming = reader.answer("/streaming", false);
+  plan.is_repeatable = reader.boolean("/repeatable", false);
+  plan.is_streaming = reader.boolean("/streaming", false);
   plan.deadline_ms = reader.number("/horizon_ms", 10000, 50, 600000);
   plan.prefix_bytes = reader.number("/prefix_bytes", 0, 0, 1 << 20);
   plan.max_body_bytes = reader.number("/max_body_bytes", 1 << 20, 1, 8 << 20);
@@ -167,7 +167,7 @@
   std::string state = reader.text("/state", true);
   if (!state.empty() && state != "emptied" && state != "serving")
     reader.error("/state", "must be 'emptied' or 'serving'");
-  order.is_window_open = reader.answer("/window_open", false);
+  order.is_window_open = reader.boolean("/window_open", false);
   order.is_evacuated = state == "emptied" || order.is_window_open;
   reader.text("/note", false);
   read_windows(reader, order);
@@ -191,7 +191,7 @@
   runner.pool.text = reader.text("/pool", true);
   runner.zone.text = reader.text("/zone", true);
   runner.region.text = reader.text("/region", true);
-  runner.is_leaving = reader.answer("/leaving", false);
+  runner.is_leaving = reader.boolean("/leaving", false);
   runner.seal_key = reader.text("/seal_key", true);
   reader.refuse_unknown();
   if (!reader.is_sound())
--- a/packages/serving-plans/src/serving_plans.cpp
+++ b/packages/serving-plans/src/serving_plans.cpp
@@ -10,12 +10,8 @@
 
 namespace emberdale {
 
-namespace {
-constexpr int deepest = 32;
-}  // namespace
-
 bool is_too_deep(const std::string& text) {
-  int depth = 0;
+  std::int64_t depth = 0;  // below 0 in a text that closes more than it opens
   bool is_string = false;
   for (std::size_t at = 0; at < text.size(); ++at) {
     char letter = text[at];
@@ -27,7 +23,7 @@
     } else if (letter == '"') {
       is_string = true;
     } else if (letter == '{' || letter == '[') {
-      if (++depth > deepest)
+      if (++depth > static_cast<std::int64_t>(max_document_depth))
         return true;
     } else if (letter == '}' || letter == ']') {
       --depth;
@@ -72,6 +68,15 @@
   return json_text(list);
 }
 
+void set_position(Finding& finding, TextPosition position) {
+  finding.line = position.line;
+  finding.column = position.column;
+}
+
+TextPosition position_in_document(const std::string& body, const std::string& place) {
+  return JsonSourceMap(body, PointerSyntax::verbatim).position_of(place);
+}
+
 bool has_errors(const std::vector<Finding>& findings) {
   return std::any_of(findings.begin(), findings.end(), [](const Finding& f) { return f.severity == "error"; });
 }
