--- a/packages/configuration-checker/src/main.cpp
+++ b/packages/configuration-checker/src/main.cpp
@@ -1,22 +1,31 @@
-// emberdale-configuration-checker: would this file do, in the fleet as it is?
-#include <cpprest/http_client.h>
+// emberdale-configuration-checker: whether a file would be accepted in the fleet as it is.
 #include <docopt/docopt.h>
 #include <pplx/threadpool.h>
 
+#include <algorithm>
 #include <ctime>
 #include <fstream>
 #include <iostream>
+#include <map>
 #include <nlohmann/json.hpp>
+#include <optional>
 #include <set>
 #include <sstream>
+#include <string>
+#include <utility>
+#include <vector>
 
 #include "emberdale/maintenance_windows.hpp"
 #include "emberdale/serving_plans.hpp"
+#include "fleet_checks.hpp"
+#include "fleet_snapshot.hpp"
+
+namespace emberdale {
+namespace {
 
-using namespace emberdale;
 using Json = nlohmann::json;
 
-static const char usage[] =
+constexpr char usage[] =
     R"(emberdale-configuration-checker: checks plans, orders, runners and calendars against a fleet as it
 is, or against a saved picture of one. Nothing is changed.
 
@@ -39,45 +48,29 @@
 Exit status: 0 no errors (warnings may be shown); 1 errors found; 2 wrong usage; 3 the fleet could not be read.
 )";
 
-namespace {
+constexpr int http_threads = 2;
+constexpr std::int64_t seconds_per_day = 86400;
+constexpr std::int64_t calendar_days = 90;
 
-struct Picture {
-  std::vector<Resource> resources;
-  Json fleet = Json::object();
-};
+enum ExitStatus { exit_no_errors = 0, exit_errors_found = 1, exit_wrong_usage = 2, exit_no_fleet = 3 };
 
-std::optional<std::string> page(const std::string& list, const std::string& path) {
-  std::stringstream stream(list);
-  std::string address;
-  while (std::getline(stream, address, ',')) {
-    try {
-      web::http::client::http_client_config config;
-      config.set_timeout(std::chrono::seconds(5));
-      web::http::client::http_client client("http://" + address, config);
-      auto response = client.request("GET", path).get();
-      if (response.status_code() == 200)
-        return response.extract_string(true).get();
-    } catch (const std::exception&) {  // the next one may answer
-    }
+// The parsed command line.
+class CommandLine {
+ public:
+  explicit CommandLine(std::map<std::string, docopt::value> arguments) : arguments_(std::move(arguments)) {}
+  bool has(const char* name) const { return arguments_.at(name).asBool(); }
+  std::string text(const char* name) const {
+    const docopt::value& value = arguments_.at(name);
+    return value.isString() ? value.asString() : std::string();
   }
-  return std::nullopt;
-}
 
-std::optional<Picture> picture_of_fleet(const std::string& control) {
-  Picture picture;
-  for (const char* kind : {plans_kind, orders_kind, runners_kind}) {
-    auto text = page(control, std::string("/v1/") + kind);
-    if (!text)
-      return std::nullopt;
-    const Json list = Json::parse(*text);
-    for (const auto& item : list["items"])
-      picture.resources.push_back({kind, item["name"], item["version"], item["config_revision"], item["spec"].dump(2)});
-  }
-  auto fleet = page(control, "/v1/fleet");
-  if (!fleet)
-    return std::nullopt;
-  picture.fleet = Json::parse(*fleet);
-  return picture;
+ private:
+  std::map<std::string, docopt::value> arguments_;
+};
+
+int fail(ExitStatus status, const std::string& reason) {
+  std::cerr << reason << "\n";
+  return status;
 }
 
 std::optional<std::string> read_file(const std::string& name) {
@@ -89,170 +82,175 @@
   return text.str();
 }
 
-// What only the living fleet can tell: runners that are down, zones whose rest can't bear the load.
-void check_against_fleet(const Configuration& configuration, const Json& fleet, std::vector<Finding>& findings) {
-  if (!fleet.contains("runners"))
+bool is_resource_kind(const std::string& kind) {
+  return kind == plans_kind || kind == orders_kind || kind == runners_kind;
+}
+
+// The documents of the fleet with those that are to be checked in their places.
+class CheckedDocuments {
+ public:
+  explicit CheckedDocuments(std::vector<Resource> resources) : resources_(std::move(resources)) {}
+
+  void put(const std::string& kind, const std::string& name, const std::string& body) {
+    checked_bodies_[kind + "/" + name] = body;
+    auto present = std::find_if(resources_.begin(), resources_.end(), [&](const Resource& resource) {
+      return resource.kind == kind && resource.name == name;
+    });
+    if (present != resources_.end())
+      present->body = body;
+    else
+      resources_.push_back({kind, name, 0, 0, body});
+  }
+
+  const std::vector<Resource>& resources() const { return resources_; }
+
+  // The body of a document that is to be checked; null if it is another one. Example: body_of("serving-plans/check")
+  const std::string* body_of(const std::string& document) const {
+    auto body = checked_bodies_.find(document);
+    return body == checked_bodies_.end() ? nullptr : &body->second;
+  }
+
+ private:
+  std::vector<Resource> resources_;
+  std::map<std::string, std::string> checked_bodies_;  // by "KIND/NAME"
+};
+
+// What one of the check commands is to check.
+struct CheckInput {
+  std::string file;  // its name
+  std::string body;
+  FleetSnapshot snapshot;
+};
+
+// The rules of the documents, and what only the fleet itself can tell.
+void check_documents(const CheckedDocuments& documents, const Json& fleet, std::vector<Finding>& findings) {
+  Configuration configuration = read_configuration(documents.resources(), findings);
+  cross_check(configuration, findings);
+  check_against_fleet(configuration, fleet, findings);
+}
+
+void check_document(const CheckInput& input, const std::string& kind, const std::string& name,
+                    std::vector<Finding>& findings) {
+  CheckedDocuments documents(input.snapshot.resources);
+  documents.put(kind, name, input.body);
+  check_documents(documents, input.snapshot.fleet, findings);
+  for (auto& finding : findings) {
+    const std::string* body = documents.body_of(finding.document);
+    if (body != nullptr && finding.line == 0)
+      set_position(finding, position_in_document(*body, finding.place));
+  }
+}
+
+// Puts the documents of a set {KIND: {NAME: document}} in their places.
+void read_document_set(const CheckInput& input, CheckedDocuments& documents, std::vector<Finding>& findings) {
+  Json set = Json::parse(input.body, nullptr, false);
+  if (!set.is_object()) {
+    findings.push_back({"error", input.file, "", 1, 1, "must be a JSON object {KIND: {NAME: document}}"});
     return;
-  std::map<std::string, Json> rows;
-  for (const auto& row : fleet["runners"])
-    rows[row["name"]] = row;
-  for (const auto& plan : configuration.plans) {
-    int able = 0;
-    for (const auto& runner : configuration.runners) {
-      auto row = rows.find(runner.name.text);
-      if (runner.pool == plan.pool && row != rows.end() &&
-          (row->second["status"] == "warm" || row->second["status"] == "cold"))
-        ++able;
-    }
-    if (able == 0)
-      findings.push_back({"warning", std::string(plans_kind) + "/" + plan.name.text, "/pool", 0, 0,
-                          "no runner of pool '" + plan.pool.text + "' serves at this moment"});
   }
-  std::map<std::pair<std::string, std::string>, std::pair<std::int64_t, std::int64_t>> left;  // load now, capacity left
-  for (const auto& runner : configuration.runners) {
-    auto row = rows.find(runner.name.text);
-    if (row == rows.end())
+  for (const auto& [kind, bodies] : set.items()) {
+    if (is_resource_kind(kind) && bodies.is_object()) {
+      for (const auto& [name, body] : bodies.items())
+        documents.put(kind, name, body.dump(2));
       continue;
-    bool is_evacuated = runner.is_leaving;
-    for (const auto& order : configuration.orders)
-      is_evacuated = is_evacuated || (order.zone == runner.zone && order.is_evacuated);
-    auto& count = left[{runner.pool.text, runner.region.text}];
-    count.first += row->second.value("burden", 0);
-    if (!is_evacuated && row->second["status"] == "warm")
-      count.second += row->second.value("capacity", 0);
+    }
+    std::string place = "/" + kind;
+    TextPosition position = position_in_document(input.body, place);
+    findings.push_back(
+        {"error", input.file, place, position.line, position.column, "is no kind of resource with its documents"});
   }
-  for (const auto& [where, count] : left)
-    if (count.first > count.second)
-      findings.push_back({"warning", "fleet", "", 0, 0,
-                          "pool '" + where.first + "' in region '" + where.second + "' bears " +
-                              std::to_string(count.first) + " calls now and would keep a capacity of " +
-                              std::to_string(count.second)});
 }
 
-}  // namespace
+// The positions of the findings are given in the set's own text.
+void check_document_set(const CheckInput& input, std::vector<Finding>& findings) {
+  CheckedDocuments documents(input.snapshot.resources);
+  read_document_set(input, documents, findings);
+  check_documents(documents, input.snapshot.fleet, findings);
+  for (auto& finding : findings)
+    if (documents.body_of(finding.document) != nullptr)
+      set_position(finding, position_in_document(input.body, "/" + finding.document + finding.place));
+}
 
-int main(int count, char** words) {
-  auto arguments = docopt::docopt(usage, {words + 1, words + count}, true, "emberdale-configuration-checker 0.1");
-  crossplat::threadpool::initialize_with_threads(2);
-  auto text_of = [&](const char* name) {
-    return arguments[name].isString() ? arguments[name].asString() : std::string();
-  };
-  std::string control = text_of("--control"), picture_file = text_of("--picture");
-  Picture picture;
-  if (!picture_file.empty()) {
-    auto text = read_file(picture_file);
-    Json saved = text ? Json::parse(*text, nullptr, false) : Json();
-    if (!saved.is_object() || !saved.contains("resources")) {
-      std::cerr << picture_file << " is no picture of a fleet\n";
-      return 3;
-    }
-    for (const auto& item : saved["resources"])
-      picture.resources.push_back({item["kind"], item["name"], item["version"], 0, item["body"]});
-    picture.fleet = saved["fleet"];
-  } else if (!control.empty()) {
-    auto live = picture_of_fleet(control);
-    if (!live) {
-      std::cerr << "no control daemon of " << control << " answers\n";
-      return 3;
-    }
-    picture = *live;
-  } else {
-    std::cerr << "either --control or --picture is needed\n";
-    return 2;
+void check_calendar(const CheckInput& input, bool prints_windows, std::vector<Finding>& findings) {
+  std::int64_t now = std::time(nullptr);
+  auto windows_by_zone = read_calendar(input.file, input.body, now, now + calendar_days * seconds_per_day, findings);
+  std::set<std::string> zones;
+  const Json runners = input.snapshot.fleet.value("runners", Json::array());
+  for (const auto& runner : runners)
+    zones.insert(runner["zone"].get<std::string>());
+  for (const auto& [zone, windows] : windows_by_zone) {
+    if (zones.count(zone) == 0)
+      findings.push_back({"error", input.file, "LOCATION", 0, 0, "no runner of the fleet is in zone '" + zone + "'"});
+    if (prints_windows)
+      std::cout << "zone " << zone << ": " << windows.size() << " windows in the next " << calendar_days << " days\n";
   }
-  std::string file = text_of("FILE");
-  if (arguments["save-picture"].asBool()) {
-    Json saved{{"fleet", picture.fleet}, {"resources", Json::array()}};
-    for (const auto& resource : picture.resources)
-      saved["resources"].push_back(
-          {{"kind", resource.kind}, {"name", resource.name}, {"version", resource.version}, {"body", resource.body}});
-    std::ofstream(file) << saved.dump(2) << "\n";
-    std::cout << "saved " << picture.resources.size() << " documents\n";
-    return 0;
+}
+
+void print_findings(const std::vector<Finding>& findings, bool is_json) {
+  if (is_json) {
+    std::cout << Json::parse(findings_json(findings)).dump(2) << "\n";
+    return;
   }
-  auto body = read_file(file);
-  if (!body) {
-    std::cerr << file << " can't be read\n";
-    return 2;
+  for (const auto& finding : findings) {
+    std::cout << finding.severity << ": " << finding.document << finding.place;
+    if (finding.line > 0)
+      std::cout << " (line " << finding.line << ", column " << finding.column << ")";
+    std::cout << ": " << finding.message << "\n";
   }
+  if (findings.empty())
+    std::cout << "no findings\n";
+}
+
+int run_check(const CommandLine& command, FleetSnapshot snapshot) {
+  CheckInput input{command.text("FILE"), "", std::move(snapshot)};
+  auto body = read_file(input.file);
+  if (!body)
+    return fail(exit_wrong_usage, input.file + " can't be read");
+  input.body = *body;
   std::vector<Finding> findings;
-  std::vector<Resource> resources = picture.resources;
-  std::map<std::string, std::string> checked;  // document: its text
-  auto lay = [&](const std::string& kind, const std::string& name, const std::string& text) {
-    checked[kind + "/" + name] = text;
-    for (auto& resource : resources)
-      if (resource.kind == kind && resource.name == name) {
-        resource.body = text;
-        return;
-      }
-    resources.push_back({kind, name, 0, 0, text});
-  };
-  auto is_kind = [](const std::string& kind) {
-    return kind == plans_kind || kind == orders_kind || kind == runners_kind;
-  };
-  if (arguments["check-calendar"].asBool()) {
-    std::int64_t now = std::time(nullptr);
-    auto windows = read_calendar(file, *body, now, now + std::int64_t{90} * 86400, findings);
-    std::set<std::string> zones;
-    const Json runners = picture.fleet.value("runners", Json::array());
-    for (const auto& runner : runners)
-      zones.insert(runner["zone"].get<std::string>());
-    for (const auto& [zone, list] : windows) {
-      if (zones.count(zone) == 0)
-        findings.push_back({"error", file, "LOCATION", 0, 0, "no runner of the fleet is in zone '" + zone + "'"});
-      if (!arguments["--json"].asBool())
-        std::cout << "zone " << zone << ": " << list.size() << " windows in the next 90 days\n";
-    }
+  bool is_json = command.has("--json");
+  if (command.has("check-calendar")) {
+    check_calendar(input, !is_json, findings);
+  } else if (command.has("check-set")) {
+    check_document_set(input, findings);
   } else {
-    if (arguments["check-set"].asBool()) {
-      Json set = Json::parse(*body, nullptr, false);
-      if (!set.is_object()) {
-        findings.push_back({"error", file, "", 1, 1, "must be a JSON object {KIND: {NAME: document}}"});
-        set = Json::object();
-      }
-      for (const auto& [kind, documents] : set.items()) {
-        if (!is_kind(kind) || !documents.is_object()) {
-          TextPosition position = position_in_document(*body, "/" + kind);
-          findings.push_back(
-              {"error", file, "/" + kind, position.line, position.column, "is no kind of resource with its documents"});
-          continue;
-        }
-        for (const auto& [name, document] : documents.items())
-          lay(kind, name, document.dump(2));
-      }
-    } else {
-      if (!is_kind(text_of("KIND"))) {
-        std::cerr << "KIND must be serving-plans, zone-orders or runners\n";
-        return 2;
-      }
-      lay(text_of("KIND"), text_of("NAME"), *body);
-    }
-    Configuration configuration = read_configuration(resources, findings);
-    cross_check(configuration, findings);
-    check_against_fleet(configuration, picture.fleet, findings);
-    for (auto& finding : findings) {
-      auto text = checked.find(finding.document);
-      if (text != checked.end() && finding.line == 0)
-        set_position(finding, position_in_document(text->second, finding.place));
-      // In a set, places are given in the set's own text.
-      if (text != checked.end() && arguments["check-set"].asBool()) {
-        auto slash = finding.document.find('/');
-        set_position(finding, position_in_document(*body, "/" + finding.document.substr(0, slash) + "/" +
-                                                              finding.document.substr(slash + 1) + finding.place));
-      }
-    }
+    if (!is_resource_kind(command.text("KIND")))
+      return fail(exit_wrong_usage, "KIND must be serving-plans, zone-orders or runners");
+    check_document(input, command.text("KIND"), command.text("NAME"), findings);
   }
-  if (arguments["--json"].asBool()) {
-    std::cout << Json::parse(findings_json(findings)).dump(2) << "\n";
+  print_findings(findings, is_json);
+  return has_errors(findings) ? exit_errors_found : exit_no_errors;
+}
+
+int run(const CommandLine& command) {
+  std::string saved_file = command.text("--picture");
+  std::string control = command.text("--control");
+  std::optional<FleetSnapshot> snapshot;
+  if (!saved_file.empty()) {
+    auto saved = read_file(saved_file);
+    snapshot = saved ? parse_snapshot(*saved) : std::nullopt;
+    if (!snapshot)
+      return fail(exit_no_fleet, saved_file + " is no picture of a fleet");
+  } else if (!control.empty()) {
+    snapshot = fetch_snapshot(control);
+    if (!snapshot)
+      return fail(exit_no_fleet, "no control daemon of " + control + " answers");
   } else {
-    for (const auto& finding : findings) {
-      std::cout << finding.severity << ": " << finding.document << finding.place;
-      if (finding.line > 0)
-        std::cout << " (line " << finding.line << ", column " << finding.column << ")";
-      std::cout << ": " << finding.message << "\n";
-    }
-    if (findings.empty())
-      std::cout << "no findings\n";
+    return fail(exit_wrong_usage, "either --control or --picture is needed");
   }
-  return has_errors(findings) ? 1 : 0;
+  if (!command.has("save-picture"))
+    return run_check(command, std::move(*snapshot));
+  std::ofstream(command.text("FILE")) << snapshot_text(*snapshot) << "\n";
+  std::cout << "saved " << snapshot->resources.size() << " documents\n";
+  return exit_no_errors;
+}
+
+}  // namespace
+}  // namespace emberdale
+
+int main(int argc, char** argv) {
+  emberdale::CommandLine command(
+      docopt::docopt(emberdale::usage, {argv + 1, argv + argc}, true, "emberdale-configuration-checker 0.1"));
+  crossplat::threadpool::initialize_with_threads(emberdale::http_threads);
+  return emberdale::run(command);
 }
--- a/packages/operator-client/src/main.cpp
+++ b/packages/operator-client/src/main.cpp
@@ -1,25 +1,29 @@
-// emberdale-client: every act of an operator or of the platform, from the command line.
-#include <cpprest/http_client.h>
+// emberdale-client: every command of an operator or of the platform, from the command line.
 #include <docopt/docopt.h>
 #include <pplx/threadpool.h>
 
-#include <chrono>
+#include <algorithm>
+#include <cstdlib>
+#include <ctime>
 #include <iostream>
+#include <map>
 #include <nlohmann/json.hpp>
-#include <sstream>
-#include <thread>
+#include <optional>
+#include <string>
+#include <utility>
+#include <vector>
 
+#include "control_client.hpp"
 #include "emberdale/file_text.hpp"
 #include "emberdale/maintenance_windows.hpp"
-#include "emberdale/peer_connections.hpp"
 #include "emberdale/serving_plans.hpp"
 
+namespace emberdale {
+namespace {
+
 using Json = nlohmann::json;
-using web::http::http_request;
-using web::http::http_response;
-using web::http::methods;
 
-static const char usage[] = R"(emberdale-client: declares plans, zone orders and runners, and watches them into force.
+constexpr char usage[] = R"(emberdale-client: declares plans, zone orders and runners, and watches them into force.
 
 Usage:
   emberdale-client [options] found FLEET CORE CORE CORE...
@@ -43,7 +47,7 @@
 KIND is serving-plans, zone-orders or runners. FILE is a JSON document, or '-' for standard input;
 patch takes a JSON merge patch. import-windows reads an iCalendar file whose events name a zone as
 their LOCATION, and writes their windows into the zone orders. CORE, OLD and NEW are IP:PORT link addresses of )"
-                            R"(core daemons.
+                         R"(core daemons.
 
 Options:
   --control LIST   IP:PORT of the control daemons' HTTP interfaces, tried in turn
@@ -58,245 +62,256 @@
 4 done but not in force everywhere in time.
 )";
 
-namespace {
+constexpr int http_threads = 2;
+constexpr std::int64_t seconds_per_day = 86400;
+constexpr int unlimited_seconds = 1 << 30;
 
-struct Answer {
-  int code = 0;
-  std::string body;
+enum ExitStatus {
+  exit_done = 0,
+  exit_refused = 1,
+  exit_wrong_usage = 2,
+  exit_unknown_outcome = 3,
+  exit_not_in_force = 4,
 };
 
-class Client {
+// The parsed command line.
+class CommandLine {
  public:
-  explicit Client(const std::string& list) {
-    std::stringstream stream(list);
-    std::string part;
-    while (std::getline(stream, part, ','))
-      addresses_.push_back(part);
-  }
+  explicit CommandLine(std::map<std::string, docopt::value> arguments) : arguments_(std::move(arguments)) {}
 
-  // Tries the next daemon only where the last one surely was not reached, or refused for want of a master.
-  Answer ask(const std::string& method, const std::string& path, const std::string& body = "",
-             const std::string& if_match = "") {
-    Answer last{0, "no control daemon answers"};
-    for (const auto& address : addresses_) {
-      try {
-        web::http::client::http_client_config config;
-        config.set_timeout(std::chrono::seconds(25));
-        web::http::client::http_client client("http://" + address, config);
-        http_request request(method);
-        request.set_request_uri(path);
-        if (if_match == "0")
-          request.headers().add("If-None-Match", "*");
-        else if (!if_match.empty())
-          request.headers().add("If-Match", "\"" + if_match + "\"");
-        if (!body.empty())
-          request.set_body(body, "application/json");
-        http_response response = client.request(request).get();
-        last = {response.status_code(), response.extract_string(true).get()};
-        if (last.code != 503) {
-          used_ = address;
-          return last;
-        }
-      } catch (const std::exception& fault) {
-        std::string what = fault.what();
-        if (what.find("connect") == std::string::npos && method != "GET")
-          return {504, Json{{"reason", what}, {"outcome", "unknown"}}.dump()};
-        last = {0, address + ": " + what};
-      }
-    }
-    return last;
+  bool has(const char* name) const {
+    const docopt::value& value = arguments_.at(name);
+    return value.isBool() && value.asBool();
   }
 
-  // Follows a watch until the named resource is in force everywhere at that version or a newer one.
-  int watch(const std::string& kind, const std::string& name, bool until_in_force, Json::number_integer_t version,
-            int seconds) {
-    auto end = std::chrono::steady_clock::now() + std::chrono::seconds(seconds);
-    while (std::chrono::steady_clock::now() < end) {
-      for (const auto& address : addresses_) {
-        try {
-          web::http::client::http_client_config config;
-          config.set_timeout(std::chrono::seconds(5));
-          web::http::client::http_client client("http://" + address, config);
-          http_response response =
-              client.request(methods::GET, "/v1/" + kind + (name.empty() ? "" : "/" + name) + "?watch=true").get();
-          if (response.status_code() != 200)
-            continue;
-          auto source = response.body().streambuf();
-          std::string line;
-          while (std::chrono::steady_clock::now() < end) {
-            int letter = source.bumpc().get();
-            if (letter == std::char_traits<char>::eof())
-              break;
-            if (letter != '\n') {
-              line += static_cast<char>(letter);
-              continue;
-            }
-            if (line.empty())
-              continue;
-            Json news = Json::parse(line, nullptr, false);
-            if (!until_in_force)
-              std::cout << line << std::endl;
-            line.clear();
-            if (!until_in_force || !news.is_object())
-              continue;
-            bool is_there = name.empty() ? !news["items"].empty() : false, is_in_force = true;
-            for (const auto& item : news["items"]) {
-              if (!name.empty() && item["name"] == name && item["version"] >= version)
-                is_there = true;
-              is_in_force = is_in_force && item["in_force"].get<bool>();
-            }
-            if (is_there && is_in_force) {
-              std::cout << kind << (name.empty() ? "" : "/" + name) << " is in force everywhere" << std::endl;
-              return 0;
-            }
-          }
-        } catch (const std::exception&) {
-          std::this_thread::sleep_for(std::chrono::milliseconds(100));
-        }
-      }
-    }
-    std::cerr << "not seen in force everywhere within " << seconds << " s\n";
-    return 4;
+  std::string text(const char* name) const {
+    const docopt::value& value = arguments_.at(name);
+    return value.isString() ? value.asString() : std::string();
   }
 
+  // 0 if the text is no number.
+  int number(const char* name) const { return std::atoi(text(name).c_str()); }
+  std::vector<std::string> list(const char* name) const { return arguments_.at(name).asStringList(); }
+
  private:
-  std::vector<std::string> addresses_;
-  std::string used_;
+  std::map<std::string, docopt::value> arguments_;
 };
 
-int show(const Answer& answer) {
-  Json body = Json::parse(answer.body, nullptr, false);
-  bool is_good = answer.code >= 200 && answer.code < 300;
-  auto& out = is_good ? std::cout : std::cerr;
-  if (body.is_object() && body.contains("findings"))
-    for (const auto& finding : body["findings"]) {
-      std::cerr << finding.value("severity", "") << ": " << finding.value("document", "") << finding.value("place", "");
-      if (finding.value("line", 0) > 0)
-        std::cerr << " (line " << finding["line"] << ", column " << finding["column"] << ")";
-      std::cerr << ": " << finding.value("message", "") << "\n";
-    }
-  if (!is_good && body.is_object() && body.contains("reason"))
-    out << (answer.code == 504 ? "outcome unknown: " : "refused: ") << body["reason"].get<std::string>()
-        << (answer.code > 0 ? " (" + std::to_string(answer.code) + ")" : "") << "\n";
-  else if (body.is_object() && body.contains("findings")) {
+std::string resource_path(const std::string& kind, const std::string& name) {
+  return "/v1/" + kind + (name.empty() ? "" : "/" + name);
+}
+
+int fail_usage(const std::string& reason) {
+  std::cerr << reason << "\n";
+  return exit_wrong_usage;
+}
+
+void print_finding(const Json& finding) {
+  std::cerr << finding.value("severity", "") << ": " << finding.value("document", "") << finding.value("place", "");
+  if (finding.value("line", 0) > 0)
+    std::cerr << " (line " << finding["line"] << ", column " << finding["column"] << ")";
+  std::cerr << ": " << finding.value("message", "") << "\n";
+}
+
+void print_refusal(const ControlResponse& response, const std::string& reason) {
+  std::cerr << (response.is_unknown_outcome() ? "outcome unknown: " : "refused: ") << reason;
+  if (response.code > 0)
+    std::cerr << " (" << response.code << ")";
+  std::cerr << "\n";
+}
+
+// Prints the response, its findings first, and gives the exit status for it.
+int print_response(const ControlResponse& response) {
+  Json body = Json::parse(response.body, nullptr, false);
+  bool has_findings = body.is_object() && body.contains("findings");
+  if (has_findings)
+    for (const auto& finding : body["findings"])
+      print_finding(finding);
+  std::ostream& out = response.is_success() ? std::cout : std::cerr;
+  if (!response.is_success() && body.is_object() && body.contains("reason")) {
+    print_refusal(response, body["reason"].get<std::string>());
+  } else if (has_findings) {
     body.erase("findings");
     out << body.dump() << "\n";
   } else {
-    out << answer.body << "\n";
+    out << response.body << "\n";
   }
-  if (is_good)
-    return 0;
-  return answer.code == 504 ? 3 : 1;
+  if (response.is_success())
+    return exit_done;
+  return response.is_unknown_outcome() ? exit_unknown_outcome : exit_refused;
 }
 
-}  // namespace
+// A change of one resource.
+struct ResourceChange {
+  std::string method;
+  std::string kind;
+  std::string name;
+  std::string body;
+};
 
-int main(int count, char** words) {
-  auto arguments = docopt::docopt(usage, {words + 1, words + count}, true, "emberdale-client 0.1");
-  crossplat::threadpool::initialize_with_threads(2);
-  Client client(arguments["--control"].asString());
-  auto flag = [&](const char* name) {
-    return arguments[name].isBool() && arguments[name].asBool();
-  };
-  auto text = [&](const char* name) {
-    return arguments[name].isString() ? arguments[name].asString() : std::string();
-  };
-  int seconds = std::atoi(text("--timeout").c_str());
-  std::string kind = text("KIND"), name = text("NAME"), if_match = text("--if-match");
-  if (!kind.empty() && kind != emberdale::plans_kind && kind != emberdale::orders_kind &&
-      kind != emberdale::runners_kind) {
-    std::cerr << "KIND must be serving-plans, zone-orders or runners\n";
-    return 2;
-  }
-  if (!if_match.empty() && if_match.find_first_not_of("0123456789") != std::string::npos) {
-    std::cerr << "--if-match must be a version number\n";
-    return 2;
+// The change of a document that the operator gives as a file; nothing if the file can't be read.
+std::optional<ResourceChange> document_change(const CommandLine& command) {
+  ResourceChange change{"DELETE", command.text("KIND"), command.text("NAME"), ""};
+  if (command.has("delete"))
+    return change;
+  change.method = command.has("put") ? "PUT" : "PATCH";
+  auto body = read_file_text(command.text("FILE"));
+  if (!body)
+    return std::nullopt;
+  change.body = *body;
+  return change;
+}
+
+ResourceChange zone_order_change(const CommandLine& command) {
+  const char* state = command.has("evacuate") ? "emptied" : "serving";
+  return {"PUT", orders_kind, command.text("ZONE"), Json{{"state", state}}.dump()};
+}
+
+ResourceChange runner_change(const CommandLine& command) {
+  return {"PATCH", runners_kind, command.text("RUNNER"), Json{{"leaving", command.has("mark-leaving")}}.dump()};
+}
+
+int print_watch_status(WatchResult result, const std::string& resource, int seconds) {
+  if (result == WatchResult::in_force) {
+    std::cout << resource << " is in force everywhere" << std::endl;
+    return exit_done;
   }
-  std::string method, body;
-  if (flag("put") || flag("patch")) {
-    method = flag("put") ? "PUT" : "PATCH";
-    auto content = emberdale::read_file_text(text("FILE"));
-    if (!content) {
-      std::cerr << text("FILE") << " can't be read\n";
-      return 2;
-    }
-    body = *content;
-  } else if (flag("delete")) {
-    method = "DELETE";
-  } else if (flag("evacuate") || flag("take-back")) {
-    method = "PUT";
-    kind = emberdale::orders_kind;
-    name = text("ZONE");
-    body = Json{{"state", flag("evacuate") ? "emptied" : "serving"}}.dump();
-  } else if (flag("mark-leaving") || flag("mark-staying")) {
-    method = "PATCH";
-    kind = emberdale::runners_kind;
-    name = text("RUNNER");
-    body = Json{{"leaving", flag("mark-leaving")}}.dump();
+  std::cerr << "not seen in force everywhere within " << seconds << " s\n";
+  return exit_not_in_force;
+}
+
+int run_change(ControlClient& client, const CommandLine& command, const ResourceChange& change) {
+  ControlRequest request{change.method, resource_path(change.kind, change.name), change.body,
+                         command.text("--if-match")};
+  ControlResponse response = client.send(request);
+  int status = print_response(response);
+  if (status != exit_done || !command.has("--wait") || change.method == "DELETE")
+    return status;
+  Json done = Json::parse(response.body, nullptr, false);
+  std::int64_t version = done.value("version", std::int64_t{0});
+  int seconds = command.number("--timeout");
+  WatchResult result = client.wait_until_in_force(change.kind, change.name, version, seconds);
+  return print_watch_status(result, change.kind + "/" + change.name, seconds);
+}
+
+int run_watch(ControlClient& client, const CommandLine& command) {
+  std::string kind = command.text("KIND");
+  std::string name = command.text("NAME");
+  if (command.has("--until-in-force")) {
+    int seconds = command.number("--timeout");
+    WatchResult result = client.wait_until_in_force(kind, name, 0, seconds);
+    return print_watch_status(result, kind + (name.empty() ? "" : "/" + name), seconds);
   }
-  if (!method.empty()) {
-    Answer answer = client.ask(method, "/v1/" + kind + "/" + name, body, if_match);
-    int status = show(answer);
-    if (status != 0 || !flag("--wait") || method == "DELETE")
-      return status;
-    Json done = Json::parse(answer.body, nullptr, false);
-    return client.watch(kind, name, true, done.value("version", 0), seconds);
+  client.print_updates(kind, name, unlimited_seconds, std::cout);
+  return print_watch_status(WatchResult::timed_out, kind, unlimited_seconds);
+}
+
+// Writes the windows into the zone's order; an order that does not exist yet is created.
+ControlResponse send_windows(ControlClient& client, const std::string& zone,
+                             const std::vector<MaintenanceWindow>& windows) {
+  Json order{{"windows", Json::array()}};
+  for (const auto& window : windows)
+    order["windows"].push_back({{"from", show_utc(window.from)}, {"until", show_utc(window.until)}});
+  std::string path = resource_path(orders_kind, zone);
+  ControlResponse response = client.send({"PATCH", path, order.dump(), ""});
+  if (response.code != 404)
+    return response;
+  order["state"] = "serving";
+  return client.send({"PUT", path, order.dump(), "0"});
+}
+
+int run_import_windows(ControlClient& client, const CommandLine& command) {
+  std::string file = command.text("FILE");
+  auto calendar = read_file_text(file);
+  if (!calendar)
+    return fail_usage(file + " can't be read");
+  std::vector<Finding> findings;
+  std::int64_t now = std::time(nullptr);
+  std::int64_t end = now + seconds_per_day * std::max(1, command.number("--days"));
+  auto windows_by_zone = read_calendar(file, *calendar, now, end, findings);
+  if (has_errors(findings)) {
+    Json body{{"reason", "the calendar is wrong; nothing was changed"},
+              {"findings", Json::parse(findings_json(findings))}};
+    return print_response({422, body.dump()});
   }
-  if (flag("import-windows")) {
-    auto content = emberdale::read_file_text(text("FILE"));
-    if (!content) {
-      std::cerr << text("FILE") << " can't be read\n";
-      return 2;
-    }
-    std::vector<emberdale::Finding> findings;
-    std::int64_t now = std::time(nullptr);
-    auto windows =
-        emberdale::read_calendar(text("FILE"), *content, now,
-                                 now + std::int64_t{86400} * std::max(1, std::atoi(text("--days").c_str())), findings);
-    if (emberdale::has_errors(findings))
-      return show({422, Json{{"reason", "the calendar is wrong; nothing was changed"},
-                             {"findings", Json::parse(emberdale::findings_json(findings))}}
-                            .dump()});
-    int status = 0;
-    for (const auto& [zone, list] : windows) {
-      Json body{{"windows", Json::array()}};
-      for (const auto& window : list)
-        body["windows"].push_back(
-            {{"from", emberdale::show_utc(window.from)}, {"until", emberdale::show_utc(window.until)}});
-      Answer answer = client.ask("PATCH", std::string("/v1/") + emberdale::orders_kind + "/" + zone, body.dump());
-      if (answer.code == 404) {
-        body["state"] = "serving";
-        answer = client.ask("PUT", std::string("/v1/") + emberdale::orders_kind + "/" + zone, body.dump(), "0");
-      }
-      std::cout << "zone " << zone << ", " << list.size() << " windows: ";
-      status = std::max(status, show(answer));
-    }
-    return status;
+  int status = exit_done;
+  for (const auto& [zone, windows] : windows_by_zone) {
+    ControlResponse response = send_windows(client, zone, windows);
+    std::cout << "zone " << zone << ", " << windows.size() << " windows: ";
+    status = std::max(status, print_response(response));
   }
-  if (flag("get"))
-    return show(client.ask("GET", "/v1/" + kind + (name.empty() ? "" : "/" + name)));
-  if (flag("watch"))
-    return client.watch(kind, name, flag("--until-in-force"), 0, flag("--until-in-force") ? seconds : 1 << 30);
-  if (flag("found"))
-    return show(client.ask("POST", "/v1/fleet/found",
-                           Json{{"fleet", text("FLEET")}, {"cores", arguments["CORE"].asStringList()}}.dump()));
-  if (flag("replace-core"))
-    return show(client.ask("POST", "/v1/fleet/replace-core", Json{{"old", text("OLD")}, {"new", text("NEW")}}.dump()));
-  if (flag("events"))
-    return show(client.ask("GET", "/v1/events"));
-  Answer answer = client.ask("GET", "/v1/fleet");
-  if (answer.code != 200 || flag("fleet"))
-    return show(answer);
-  Json fleet = Json::parse(answer.body, nullptr, false);
-  if (flag("master")) {
-    std::cout
-        << Json{{"master", fleet["master"]}, {"reign", fleet["reign"]}, {"answers", fleet["master_answers"]}}.dump()
-        << "\n";
-    return 0;
+  return status;
+}
+
+int run_found(ControlClient& client, const CommandLine& command) {
+  Json body{{"fleet", command.text("FLEET")}, {"cores", command.list("CORE")}};
+  return print_response(client.send({"POST", "/v1/fleet/found", body.dump(), ""}));
+}
+
+int run_replace_core(ControlClient& client, const CommandLine& command) {
+  Json body{{"old", command.text("OLD")}, {"new", command.text("NEW")}};
+  return print_response(client.send({"POST", "/v1/fleet/replace-core", body.dump(), ""}));
+}
+
+// The commands "fleet", "master" and "map": the whole state of the cluster, or a part of it.
+int run_fleet(ControlClient& client, const CommandLine& command) {
+  ControlResponse response = client.send({"GET", "/v1/fleet", "", ""});
+  if (response.code != 200 || command.has("fleet"))
+    return print_response(response);
+  Json fleet = Json::parse(response.body, nullptr, false);
+  if (command.has("master")) {
+    Json master{{"master", fleet["master"]}, {"reign", fleet["reign"]}, {"answers", fleet["master_answers"]}};
+    std::cout << master.dump() << "\n";
+    return exit_done;
   }
   Json map;
   for (const char* key : {"map_version", "map_config_revision", "regions", "runners", "gateways", "emptied_zones"})
     map[key] = fleet[key];
   std::cout << map.dump(2) << "\n";
-  return 0;
+  return exit_done;
+}
+
+bool is_resource_kind(const std::string& kind) {
+  return kind == plans_kind || kind == orders_kind || kind == runners_kind;
+}
+
+int run(ControlClient& client, const CommandLine& command) {
+  std::string kind = command.text("KIND");
+  std::string if_match = command.text("--if-match");
+  if (!kind.empty() && !is_resource_kind(kind))
+    return fail_usage("KIND must be serving-plans, zone-orders or runners");
+  if (if_match.find_first_not_of("0123456789") != std::string::npos)
+    return fail_usage("--if-match must be a version number");
+  if (command.has("put") || command.has("patch") || command.has("delete")) {
+    auto change = document_change(command);
+    return change ? run_change(client, command, *change) : fail_usage(command.text("FILE") + " can't be read");
+  }
+  if (command.has("evacuate") || command.has("take-back"))
+    return run_change(client, command, zone_order_change(command));
+  if (command.has("mark-leaving") || command.has("mark-staying"))
+    return run_change(client, command, runner_change(command));
+  if (command.has("import-windows"))
+    return run_import_windows(client, command);
+  if (command.has("get"))
+    return print_response(client.send({"GET", resource_path(kind, command.text("NAME")), "", ""}));
+  if (command.has("watch"))
+    return run_watch(client, command);
+  if (command.has("found"))
+    return run_found(client, command);
+  if (command.has("replace-core"))
+    return run_replace_core(client, command);
+  if (command.has("events"))
+    return print_response(client.send({"GET", "/v1/events", "", ""}));
+  return run_fleet(client, command);
+}
+
+}  // namespace
+}  // namespace emberdale
+
+int main(int argc, char** argv) {
+  emberdale::CommandLine command(
+      docopt::docopt(emberdale::usage, {argv + 1, argv + argc}, true, "emberdale-client 0.1"));
+  crossplat::threadpool::initialize_with_threads(emberdale::http_threads);
+  emberdale::ControlClient client(command.text("--control"));
+  return emberdale::run(client, command);
 }
