--- a/packages/call-matching/src/call_dispatcher.cpp
+++ b/packages/call-matching/src/call_dispatcher.cpp
@@ -191,7 +191,7 @@
 }
 
 std::int64_t CallDispatcher::bound_of(const RunnerRow& row, TimePoint now) const {
-  if (row.status == "cold") {
+  if (row.state == RunnerState::warming_up) {
     if (grant_.warming_up_until <= now)
       return 0;  // the share may have been given to another by now
     for (const auto& grant : row.warmup_grants)
@@ -217,7 +217,7 @@
   static const EndpointState blank;
   for (const auto& name : pool->second) {
     const RunnerRow& row = view_->runners.at(name);
-    if (row.region != region || (row.status != "warm" && row.status != "cold"))
+    if (row.region != region || (row.state != RunnerState::warm && row.state != RunnerState::warming_up))
       continue;
     if (std::find(call.tried.begin(), call.tried.end(), name) != call.tried.end())
       continue;
@@ -228,7 +228,7 @@
     if (is_shunned && !(is_last_resort && endpoint.is_reachable))
       continue;
     // A runner warms once in a life: a map that calls this life warm is right, whatever an older answer said.
-    bool is_warming_up = row.status == "cold";
+    bool is_warming_up = row.state == RunnerState::warming_up;
     std::int64_t bound = bound_of(row, now);
     // A cold runner is bounded by this daemon's own grant; a warm one by its whole load.
     std::int64_t load = is_warming_up ? endpoint.in_flight : load_of(row, endpoint);
@@ -296,7 +296,7 @@
     ++counts.second;
     ++counts_.spilled;
   }
-  if (row.status == "cold")
+  if (row.state == RunnerState::warming_up)
     ++counts_.warmup_sends;
   call.runner = *runner;
   call.is_spilled = is_spill;
--- a/packages/call-matching/src/lease_manager.cpp
+++ b/packages/call-matching/src/lease_manager.cpp
@@ -23,7 +23,7 @@
   for (const auto& entry : next_)
     places.insert(entry.address);
   for (const auto& place : places)
-    out_.push_back({place, ReadRequest{ask, "data", Ballot{}, false, false}});
+    out_.push_back({place, ReadRequest{ask, DaemonRole::data, Ballot{}, false, false}});
   bool is_register_silent = grant_.until - now < Duration{grant_length.value - 700};
   if (is_register_silent && !master.empty())
     out_.push_back({master, LeaseRequest{ask}});
--- a/packages/call-matching/tests/call_matching_test.cpp
+++ b/packages/call-matching/tests/call_matching_test.cpp
@@ -32,7 +32,7 @@
     row.name.text = "r" + std::to_string(i);
     row.pool.text = "p";
     row.region.text = i % 2 == 0 ? "here" : "there";
-    row.status = "warm";
+    row.state = RunnerState::warm;
     row.capacity = 4;
     row.incarnation = 1;
     view->runners[row.name] = row;
@@ -160,7 +160,7 @@
   dispatcher.set_grant(always);
   auto view = view_with(1, "");
   auto& row = view->runners.begin()->second;
-  row.status = "cold";
+  row.state = RunnerState::warming_up;
   row.allowance = 3;
   row.warmup_grants = {{Address{"d1"}, 2}, {Address{"d2"}, 1}};
   dispatcher.see(view, TimePoint{0});
@@ -266,7 +266,7 @@
   CallDispatcher dispatcher(here());
   dispatcher.set_grant(always);
   auto cold = view_with(1, "");
-  cold->runners.begin()->second.status = "cold";
+  cold->runners.begin()->second.state = RunnerState::warming_up;
   cold->runners.begin()->second.warmup_grants = {{Address{"d1"}, 1}};
   dispatcher.see(cold, TimePoint{0});
   EXPECT_FALSE(dispatcher.admit(call("a"), TimePoint{0}, 1));
--- a/packages/call-routing/src/route_dispatcher.cpp
+++ b/packages/call-routing/src/route_dispatcher.cpp
@@ -165,7 +165,7 @@
   std::size_t warm = 0;
   for (const auto& name : pool) {
     const RunnerRow& row = view_->runners.at(name);
-    if (row.status != "warm")
+    if (row.state != RunnerState::warm)
       continue;
     ++warm;
     auto seen = short_seen_.find({row.pool, row.region});
@@ -224,7 +224,7 @@
   if (call.key != 0)
     for (const auto& name : pool->second) {
       const RunnerRow& row = view_->runners.at(name);
-      if (row.status != "warm" || !may_go(row))
+      if (row.state != RunnerState::warm || !may_go(row))
         continue;
       if (!is_long && call.route->homes.empty() && row.region != settings_.region)
         continue;
@@ -244,8 +244,8 @@
     }
   for (const auto& name : pool->second) {
     const RunnerRow& row = view_->runners.at(name);
-    bool is_warming_up = row.status == "cold";
-    if (row.status != "warm" && !is_warming_up)
+    bool is_warming_up = row.state == RunnerState::warming_up;
+    if (row.state != RunnerState::warm && !is_warming_up)
       continue;
     if (!may_go(row))
       continue;
@@ -328,7 +328,7 @@
   if (endpoint.kept.size() > 4096)
     for (auto part = endpoint.kept.begin(); part != endpoint.kept.end();)
       part = now - part->second > Duration{retention.value / 4} ? endpoint.kept.erase(part) : std::next(part);
-  if (row.status == "cold")
+  if (row.state == RunnerState::warming_up)
     ++counts_.warmup_sends;
   if (row.region != settings_.region)
     ++counts_.far_sends;
@@ -369,7 +369,7 @@
   const auto& homes = call.route->homes;
   return std::any_of(pool->second.begin(), pool->second.end(), [&](const RunnerName& name) {
     const RunnerRow& row = view_->runners.at(name);
-    return (row.status == "warm" || row.status == "cold") &&
+    return (row.state == RunnerState::warm || row.state == RunnerState::warming_up) &&
            (homes.empty() || std::find(homes.begin(), homes.end(), row.region) != homes.end());
   });
 }
--- a/packages/call-routing/tests/route_dispatcher_test.cpp
+++ b/packages/call-routing/tests/route_dispatcher_test.cpp
@@ -28,7 +28,7 @@
   return route;
 }
 
-RunnerRow runner_of(const std::string& name, const std::string& region, const std::string& status = "warm",
+RunnerRow runner_of(const std::string& name, const std::string& region, RunnerState state = RunnerState::warm,
                     std::int64_t capacity = 8) {
   RunnerRow row;
   row.name.text = name;
@@ -36,7 +36,7 @@
   row.pool = pool;
   row.region.text = region;
   row.zone.text = region + "-1";
-  row.status = status;
+  row.state = state;
   row.capacity = capacity;
   return row;
 }
@@ -200,7 +200,7 @@
 
 TEST(RouteDispatcher, HomesAreNotLeftWhenTheHomeHasNoRunner) {
   Bench bench;
-  bench.see({runner_of("n1", "north"), runner_of("n2", "north"), runner_of("s1", "south", "down")});
+  bench.see({runner_of("n1", "north"), runner_of("n2", "north"), runner_of("s1", "south", RunnerState::down)});
   EXPECT_FALSE(bench.arrive("homed", 1));
   bench.run_to(bench.now + Duration{250});
   EXPECT_TRUE(bench.dispatcher.take_sends().empty());
@@ -223,21 +223,21 @@
 }
 
 TEST(RouteDispatcher, RunnersThatTheViewTakesOutGetNothingFromThatMomentOn) {
-  for (const char* status : {"leaving", "emptied", "down"}) {
+  for (RunnerState state : {RunnerState::draining, RunnerState::evacuated, RunnerState::down}) {
     Bench bench;
     bench.see(two_north);
-    bench.see({runner_of("n1", "north", status), runner_of("n2", "north")});
+    bench.see({runner_of("n1", "north", state), runner_of("n2", "north")});
     for (CallIndex index = 1; index <= 30; ++index)
       bench.arrive(index % 2 == 0 ? "free" : "once", index);
     auto sends = bench.dispatcher.take_sends();
     EXPECT_FALSE(sends.empty());
     for (const auto& send : sends)
-      EXPECT_EQ(send.runner.text, "n2") << status;
-    bench.see({runner_of("n1", "north", status), runner_of("n2", "north", status)});
+      EXPECT_EQ(send.runner.text, "n2") << to_string(state);
+    bench.see({runner_of("n1", "north", state), runner_of("n2", "north", state)});
     for (const auto& send : sends)
       bench.end(send, RoutedEndKind::refused);
     bench.run_to(bench.now + Duration{1000});
-    EXPECT_TRUE(bench.dispatcher.take_sends().empty()) << status;
+    EXPECT_TRUE(bench.dispatcher.take_sends().empty()) << to_string(state);
     EXPECT_EQ(bench.dispatcher.in_hand(), 0u);
   }
 }
@@ -245,8 +245,8 @@
 TEST(RouteDispatcher, ManyCallsOfOneOpeningGoToOneRunnerFromTwoRegions) {
   std::vector<RunnerRow> runners;
   for (int i = 1; i <= 4; ++i) {
-    runners.push_back(runner_of("n" + std::to_string(i), "north", "warm", 64));
-    runners.push_back(runner_of("s" + std::to_string(i), "south", "warm", 64));
+    runners.push_back(runner_of("n" + std::to_string(i), "north", RunnerState::warm, 64));
+    runners.push_back(runner_of("s" + std::to_string(i), "south", RunnerState::warm, 64));
   }
   Bench north, south(settings_of("d2", "south"));
   for (std::uint64_t opening = 1; opening <= 10; ++opening) {
@@ -272,7 +272,7 @@
   std::vector<RunnerRow> runners;
   for (int i = 1; i <= 5; ++i)
     for (const char* region : {"north", "south"})
-      runners.push_back(runner_of(std::string(1, *region) + std::to_string(i), region, "warm", 64));
+      runners.push_back(runner_of(std::string(1, *region) + std::to_string(i), region, RunnerState::warm, 64));
   Bench bench;
   bench.see(runners);
   std::set<std::string> for_short, for_long;
@@ -299,7 +299,7 @@
 
 TEST(RouteDispatcher, AColdRunnerGetsNoMoreThanItsShareInAnySecondAndNothingWithoutTheMastersWord) {
   Bench bench;
-  auto cold = runner_of("n1", "north", "cold");
+  auto cold = runner_of("n1", "north", RunnerState::warming_up);
   cold.warmup_grants = {{Address{"d1"}, 3}, {Address{"d2"}, 9}};
   bench.see({cold});
   bench.run_to(bench.now + Duration{2000});
@@ -328,7 +328,7 @@
 
 // A dispatcher that starts anew knows nothing of what the same daemon sent a moment ago.
 TEST(RouteDispatcher, AfterARestartAColdRunnersShareIsNotUsedTwiceInOneSecond) {
-  auto cold = runner_of("n1", "north", "cold");
+  auto cold = runner_of("n1", "north", RunnerState::warming_up);
   cold.warmup_grants = {{Address{"d1"}, 3}};
   Bench before;
   before.see({cold});
@@ -348,7 +348,7 @@
 }
 
 TEST(RouteDispatcher, AColdRunnerThatLeavesTheViewForAMomentGetsItsShareOnce) {
-  auto cold = runner_of("n1", "north", "cold");
+  auto cold = runner_of("n1", "north", RunnerState::warming_up);
   cold.warmup_grants = {{Address{"d1"}, 3}};
   Bench bench;
   bench.see({cold});
@@ -372,7 +372,7 @@
 
 TEST(RouteDispatcher, WhenNobodyIsFreeACallIsRefusedWithinAQuarterOfItsTarget) {
   Bench bench;
-  bench.see({runner_of("n1", "north", "warm", 1)});
+  bench.see({runner_of("n1", "north", RunnerState::warm, 1)});
   TimePoint begun = bench.now;
   std::size_t sent = 0, refused = 0;
   for (CallIndex index = 1; index <= 20; ++index)
@@ -391,8 +391,9 @@
 
 TEST(RouteDispatcher, NothingIsRefusedWhileARunnerThatMayTakeItIsFree) {
   Bench bench;
-  std::vector<RunnerRow> runners{runner_of("n1", "north", "warm", 4), runner_of("s1", "south", "warm", 4),
-                                 runner_of("w1", "west", "warm", 4)};
+  std::vector<RunnerRow> runners{runner_of("n1", "north", RunnerState::warm, 4),
+                                 runner_of("s1", "south", RunnerState::warm, 4),
+                                 runner_of("w1", "west", RunnerState::warm, 4)};
   bench.see(runners);
   for (CallIndex index = 1; index <= 12; ++index) {  // as many as all have slots, whatever is nearer
     EXPECT_FALSE(bench.arrive("free", index));
@@ -403,7 +404,7 @@
 
 TEST(RouteDispatcher, WhatIsPendingIsSentTheMomentARunnerComesFree) {
   Bench bench;
-  bench.see({runner_of("n1", "north", "warm", 1)});
+  bench.see({runner_of("n1", "north", RunnerState::warm, 1)});
   CallIndex index = 0;
   std::vector<RoutedSend> sends;
   while (bench.dispatcher.counts().pended == 0) {
@@ -433,7 +434,7 @@
   int at = 0;
   for (const char* name : {"last", "free", "first", "last", "free", "first"})
     EXPECT_FALSE(bench.arrive(name, ++at));
-  bench.see({runner_of("n1", "north", "warm", 64)});
+  bench.see({runner_of("n1", "north", RunnerState::warm, 64)});
   std::vector<CallIndex> order;
   for (const auto& send : bench.dispatcher.take_sends())
     order.push_back(send.call);
@@ -828,7 +829,7 @@
   void add_runner() {
     const char* regions[] = {"north", "south", "west"};
     auto row = runner_of("r" + std::to_string(++last_runner), regions[random.below(3)],
-                         random.chance(0.5) ? "warm" : "cold", 2 + random.below(12));
+                         random.chance(0.5) ? RunnerState::warm : RunnerState::warming_up, 2 + random.below(12));
     row.pool.text = random.chance(0.8) ? "p" : "q";
     row.allowance = 1 + random.below(30);
     runners[row.name] = row;
@@ -844,17 +845,17 @@
       }
       // Cold again only after every old share has run out; else another life comes.
       if (drawn == 1 && now - warm_since[row.name] > Duration{4000})
-        row.status = "cold";
-      if (drawn <= 4 && drawn >= 2 && row.status == "cold") {
-        row.status = "warm";
+        row.state = RunnerState::warming_up;
+      if (drawn <= 4 && drawn >= 2 && row.state == RunnerState::warming_up) {
+        row.state = RunnerState::warm;
         warm_since[row.name] = now;
       }
       if (drawn == 5)
-        row.status = "leaving";
+        row.state = RunnerState::draining;
       if (drawn == 6)
-        row.status = "emptied";
+        row.state = RunnerState::evacuated;
       if (drawn == 7)
-        row.status = "down";
+        row.state = RunnerState::down;
       ++entry;
     }
     if (runners.size() < 3 || (runners.size() < 20 && random.chance(0.1)))
@@ -872,9 +873,9 @@
       std::vector<RunnerRow> rows;
       for (auto& [name, row] : runners) {
         row.warmup_grants.clear();
-        if (row.status == "cold")
+        if (row.state == RunnerState::warming_up)
           row.warmup_grants = shares.share(row, all, all, now);
-        else if (row.status == "warm")
+        else if (row.state == RunnerState::warm)
           shares.forget(name);
         rows.push_back(row);
       }
@@ -906,7 +907,8 @@
     RC_ASSERT(send.turn == call.turn + 1);
     RC_ASSERT(call.is_repeatable || call.all_sure);  // (c)
     const auto& row = daemon.view->runners.at(send.runner);
-    RC_ASSERT(row.status == "warm" || (row.status == "cold" && now < daemon.warming_up_until));
+    RC_ASSERT(row.state == RunnerState::warm ||
+              (row.state == RunnerState::warming_up && now < daemon.warming_up_until));
     call.is_sent = true;
     call.turn = send.turn;
     call.runner = send.runner;
@@ -926,7 +928,7 @@
     if (reaches)
       ++call.arrivals;
     all_sends.push_back({now, static_cast<int>(&daemon - daemons.data()), call.arrivals <= 1, reaches, row.pool});
-    if (row.status == "cold")
+    if (row.state == RunnerState::warming_up)
       warmup_sends[send.runner].push_back(all_sends.back());
     if (is_silent)
       return;
@@ -1038,7 +1040,7 @@
             for (const auto& grant : row.warmup_grants)
               if (grant.daemon.text == daemon.address)
                 calls = grant.requests;
-            daemon.shares[name].emplace_back(now, row.status == "cold" ? calls : 0);
+            daemon.shares[name].emplace_back(now, row.state == RunnerState::warming_up ? calls : 0);
           }
           daemon.dispatcher->see(letter.view, now);
           collect(daemon);
--- a/packages/configuration-register/include/emberdale/register_proposer.hpp
+++ b/packages/configuration-register/include/emberdale/register_proposer.hpp
@@ -50,7 +50,7 @@
   void learn_acceptors(const std::vector<AcceptorEntry>& acceptors);
   void change(Change change, std::function<void(const ChangeEnd&)> done, TimePoint now, Duration patience);
   // Begins a read in place of the one in flight, and returns its number: numbers of one life only grow.
-  std::int64_t poll(TimePoint now, const std::string& role, bool wants_heard);
+  std::int64_t poll(TimePoint now, DaemonRole role, bool wants_heard);
   // Whether a read is in flight that may yet be answered in time: another would only take its place.
   bool is_reading(TimePoint now) const;
   bool on_message(const Address& from, const Message& message, TimePoint now);
--- a/packages/configuration-register/src/register_acceptor.cpp
+++ b/packages/configuration-register/src/register_acceptor.cpp
@@ -141,7 +141,7 @@
 }
 
 void RegisterAcceptor::on_read(const Address& from, const ReadRequest& read, TimePoint now) {
-  if (read.role == "edge")
+  if (read.role == DaemonRole::edge)
     heard_[from] = now;
   ReadResponse response;
   response.request_id = read.request_id;
@@ -152,7 +152,7 @@
   response.acceptors = state_.acceptors;
   response.next_acceptors = state_.next_acceptors;
   response.uptime_ms = (now - *awake_since_).value;
-  if (read.role != "data" && !read.ballots_only && read.known_ballot != synced_.accepted)
+  if (read.role != DaemonRole::data && !read.ballots_only && read.known_ballot != synced_.accepted)
     add_value(read.known_ballot, response);
   if (read.wants_contacts)
     for (const auto& [daemon, moment] : heard_)
--- a/packages/configuration-register/src/register_proposer.cpp
+++ b/packages/configuration-register/src/register_proposer.cpp
@@ -271,7 +271,7 @@
   return true;
 }
 
-std::int64_t RegisterProposer::poll(TimePoint now, const std::string& role, bool wants_heard) {
+std::int64_t RegisterProposer::poll(TimePoint now, DaemonRole role, bool wants_heard) {
   ++counts_.reads;
   read_ = Read();
   read_->ask = ++last_request_id_;
--- a/packages/configuration-register/tests/configuration_register_test.cpp
+++ b/packages/configuration-register/tests/configuration_register_test.cpp
@@ -206,7 +206,7 @@
   EXPECT_TRUE(
       acceptor.drain_outbound().empty());  // nothing is answered before it is on disk, and a dropped ask is not refused
   // Reads go on from what is on disk.
-  acceptor.on_message(Address{"p"}, ReadRequest{20000, "edge", Ballot{}, false, false}, TimePoint{10001});
+  acceptor.on_message(Address{"p"}, ReadRequest{20000, DaemonRole::edge, Ballot{}, false, false}, TimePoint{10001});
   EXPECT_EQ(acceptor.drain_outbound().size(), 1u);
   acceptor.synced(last);
   EXPECT_EQ(acceptor.drain_outbound().size(), static_cast<std::size_t>(writes));
--- a/packages/configuration-register/tests/message_validation_test.cpp
+++ b/packages/configuration-register/tests/message_validation_test.cpp
@@ -181,7 +181,7 @@
   static Address place(int i) { return sound_state().acceptors[static_cast<std::size_t>(i)].address; }
   static StoreId store(int i) { return sound_state().acceptors[static_cast<std::size_t>(i)].store; }
   void poll() {
-    proposer.poll(now, "core", false);
+    proposer.poll(now, DaemonRole::core, false);
     ask = std::get<ReadRequest>(proposer.drain_outbound().at(0).message).request_id;
   }
   ReadResponse read_response(int i, std::int64_t number = 7, std::int64_t version = 3) const {
@@ -383,7 +383,7 @@
         Message{Prepare{4, store_1, Ballot{9, proposer_a}, Ballot{}}},
         Message{accept_of(value_of(sound_state(4)))},
         Message{BootstrapRequest{1, store_1, value_of(sound_state())}},
-        Message{ReadRequest{9, "core", Ballot{}, true, false}},
+        Message{ReadRequest{9, DaemonRole::core, Ballot{}, true, false}},
         Message{asker.read_response(1, 9, 5)},
         Message{Promise{4, store_2, true, Ballot{9, proposer_a}, Ballot{7, proposer_a}, value_of(sound_state(3))}},
         Message{Accepted{4, store_2, true, Ballot{9, proposer_a}}}};
--- a/packages/configuration-register/tests/register_bench.hpp
+++ b/packages/configuration-register/tests/register_bench.hpp
@@ -108,7 +108,7 @@
       for (auto& [address, proposer] : proposers_) {
         proposer->on_timer(TimePoint{now_});
         if (now_ % 150 == 0)
-          proposer->poll(TimePoint{now_}, "core", false);
+          proposer->poll(TimePoint{now_}, DaemonRole::core, false);
         collect(address);
       }
     }
--- a/packages/configuration-register/tests/stored_register_test.cpp
+++ b/packages/configuration-register/tests/stored_register_test.cpp
@@ -60,9 +60,10 @@
                      {"zone-orders", "eu-1", 40, 16, R"({"state":"emptied"})"},
                      {"runners", "runner-1", 41, 17, R"({"pool":"p1","zone":"eu-1"})"}};
   state.deleted_version = 12;
-  state.roster = {{first_proposer, "10.0.0.1:8000", "core", ZoneName{"eu-1"}, RegionName{"eu"}, 1234567890123},
-                  {second_proposer, "10.0.0.2:8000", "core", ZoneName{"us-1"}, RegionName{"us"}, 1234567890456},
-                  {Address{"10.0.0.3:7000"}, "10.0.0.3:8000", "data", ZoneName{"us-1"}, RegionName{"us"}, 77}};
+  state.roster = {
+      {first_proposer, "10.0.0.1:8000", DaemonRole::core, ZoneName{"eu-1"}, RegionName{"eu"}, 1234567890123},
+      {second_proposer, "10.0.0.2:8000", DaemonRole::core, ZoneName{"us-1"}, RegionName{"us"}, 1234567890456},
+      {Address{"10.0.0.3:7000"}, "10.0.0.3:8000", DaemonRole::data, ZoneName{"us-1"}, RegionName{"us"}, 77}};
   state.term = 5;
   state.master = first_proposer;
   state.acknowledgement_wait_ms = 1300;
--- a/packages/configuration-register/tests/value_delta_test.cpp
+++ b/packages/configuration-register/tests/value_delta_test.cpp
@@ -53,7 +53,7 @@
       copies_.emplace(entry.address, RegisterAcceptor(entry.store));
     found(state_of(1));
     proposer.learn_acceptors(state_of(1).acceptors);
-    proposer.poll(now, "core", false);
+    proposer.poll(now, DaemonRole::core, false);
     run();
     EXPECT_TRUE(proposer.has_state());
     bytes = 0;
@@ -193,7 +193,7 @@
   reader.learn_acceptors(state_of(1).acceptors);
   auto poll = [&] {
     cluster.bytes = 0;
-    reader.poll(now, "edge", false);
+    reader.poll(now, DaemonRole::edge, false);
     cluster.run(reader, Address{"reader"});
     return cluster.bytes;
   };
--- a/packages/control-plane/include/emberdale/control_daemon.hpp
+++ b/packages/control-plane/include/emberdale/control_daemon.hpp
@@ -31,7 +31,7 @@
 namespace emberdale {
 
 struct ControlDaemonSettings {
-  DaemonEntry self;  // role "core" or "edge"
+  DaemonEntry self;  // role DaemonRole::core or DaemonRole::edge
   std::vector<Address> seeds;
   std::uint64_t random_seed = 1;
   ElectionTimes election;
@@ -151,7 +151,7 @@
     std::int64_t begun_read = 0;  // the register read that was the first to begin after this one came; 0: none yet
   };
 
-  bool is_edge() const { return settings_.self.role == "edge"; }
+  bool is_edge() const { return settings_.self.role == DaemonRole::edge; }
   void refresh_state(TimePoint now);
   void keep_roster(TimePoint now);
   void reconcile_membership(TimePoint now);
--- a/packages/control-plane/include/emberdale/edit_batch.hpp
+++ b/packages/control-plane/include/emberdale/edit_batch.hpp
@@ -8,10 +8,6 @@
 
 namespace emberdale {
 
-// As "put", but what has that body already keeps its version and needs no write: for those who send an order again
-// because they got no answer in time. On a slow disk a write takes longer than they wait.
-inline constexpr const char* ensure_act = "ensure";
-
 struct WorkedOutEdit {
   EditRequest request;
   EditResult result;  // its own verdict; without the resources, which are in the state
--- a/packages/control-plane/include/emberdale/replica_set_manager.hpp
+++ b/packages/control-plane/include/emberdale/replica_set_manager.hpp
@@ -15,16 +15,17 @@
 namespace emberdale {
 
 // Example:
-//   ReplicaSetManager cores(proposer, journal, "core", true, Dice(1)); cores.found("caspian", addresses, done, now);
-//   cores.on_message(from, message, now); cores.on_timer(now); for (auto& s : cores.drain_outbound()) send(s);
+//   ReplicaSetManager cores(proposer, journal, DaemonRole::core, true, Dice(1)); cores.found("caspian", addresses,
+//   done, now); cores.on_message(from, message, now); cores.on_timer(now); for (auto& s : cores.drain_outbound())
+//   send(s);
 class ReplicaSetManager {
  public:
   using Done = std::function<void(int code, const std::string& reason)>;
-  ReplicaSetManager(RegisterProposer& proposer, EventJournal& journal, std::string role, bool has_acceptor,
+  ReplicaSetManager(RegisterProposer& proposer, EventJournal& journal, DaemonRole role, bool has_acceptor,
                     RandomGenerator random)
       : proposer_(proposer),
         journal_(journal),
-        role_(std::move(role)),
+        role_(role),
         has_acceptor_(has_acceptor),
         random_(random),
         last_request_id_(first_request_id(random_)) {}
@@ -80,7 +81,7 @@
 
   RegisterProposer& proposer_;
   EventJournal& journal_;
-  std::string role_;
+  DaemonRole role_;
   bool has_acceptor_;
   MembershipReconciler* reconciler_ = nullptr;  // lives as long as the daemon
   RandomGenerator random_;
--- a/packages/control-plane/src/change_identity.cpp
+++ b/packages/control-plane/src/change_identity.cpp
@@ -8,7 +8,7 @@
 
 Bytes change_digest(const EditRequest& request) {
   std::string text = std::to_string(request.expected_version);
-  for (const std::string& part : {request.action, request.kind, request.name, request.body})
+  for (const std::string& part : {to_string(request.action), request.kind, request.name, request.body})
     text += "\n" + std::to_string(part.size()) + "\n" + part;  // with its size, so that no two orders give one text
   return Bytes{content_digest_bytes(text)};
 }
--- a/packages/control-plane/src/cluster_bootstrapper.cpp
+++ b/packages/control-plane/src/cluster_bootstrapper.cpp
@@ -106,7 +106,7 @@
   if (phase_ == Phase::founding)
     return send_bootstrap_request();
   for (const auto& seed : seeds_)
-    out_.push_back({seed, ReadRequest{ask_, "data", Ballot{}, false, false}});
+    out_.push_back({seed, ReadRequest{ask_, DaemonRole::data, Ballot{}, false, false}});
 }
 
 }  // namespace emberdale
--- a/packages/control-plane/src/control_daemon.cpp
+++ b/packages/control-plane/src/control_daemon.cpp
@@ -119,7 +119,7 @@
 std::vector<DaemonEntry> ControlDaemon::known() const {
   std::vector<DaemonEntry> entries;
   for (const auto& [address, known] : known_)
-    if (!known.entry.role.empty())
+    if (known.entry.role != DaemonRole::unspecified)
       entries.push_back(known.entry);
   return entries;
 }
--- a/packages/control-plane/src/control_directory.cpp
+++ b/packages/control-plane/src/control_directory.cpp
@@ -46,7 +46,7 @@
       zones.insert(report.daemon.zone);
   zones.erase(settings_.self.zone);
   for (const auto& [address, known] : known_)
-    if (known.entry.role == "edge" && now - known.heard <= front_silence)
+    if (known.entry.role == DaemonRole::edge && now - known.heard <= front_silence)
       zones.erase(known.entry.zone);
   return zones;
 }
--- a/packages/control-plane/src/control_interface.cpp
+++ b/packages/control-plane/src/control_interface.cpp
@@ -80,7 +80,7 @@
 Json daemon_json(const DaemonEntry& entry) {
   return {{"address", entry.address.text},
           {"http", entry.http_address},
-          {"role", entry.role},
+          {"role", to_string(entry.role)},
           {"zone", entry.zone.text},
           {"region", entry.region.text}};
 }
@@ -218,11 +218,11 @@
         });
       }
       EditRequest edit_request;
-      edit_request.action = method == methods::PUT     ? "put"
-                            : method == methods::PATCH ? "patch"
-                            : method == methods::DEL   ? "delete"
-                                                       : "";
-      if (edit_request.action.empty() || name.empty())
+      edit_request.action = method == methods::PUT     ? EditAction::put
+                            : method == methods::PATCH ? EditAction::patch
+                            : method == methods::DEL   ? EditAction::remove
+                                                       : EditAction::unspecified;
+      if (edit_request.action == EditAction::unspecified || name.empty())
         return answer_reason(request, 405, "GET, PUT, PATCH or DELETE of one resource, or GET of a list");
       edit_request.kind = kind;
       edit_request.name = name;
@@ -419,7 +419,7 @@
                                       {"pool", row.pool.text},
                                       {"zone", row.zone.text},
                                       {"region", row.region.text},
-                                      {"status", row.status},
+                                      {"status", to_string(row.state)},
                                       {"incarnation", row.incarnation},
                                       {"capacity", row.capacity},
                                       {"burden", row.load},
--- a/packages/control-plane/src/control_maps.cpp
+++ b/packages/control-plane/src/control_maps.cpp
@@ -25,7 +25,7 @@
     return names;
   }
   for (const auto& [address, known] : known_)
-    if (known.entry.role == "edge" && known.entry.zone == zone && now - known.heard <= alive_timeout)
+    if (known.entry.role == DaemonRole::edge && known.entry.zone == zone && now - known.heard <= alive_timeout)
       names.push_back(address.text);
   return names;
 }
@@ -105,7 +105,7 @@
       });
   fresh.routing_table_revision = routing_table_rows_.empty() ? 0 : routing_table_revision_;
   for (const auto& row : fresh.runners)
-    if (row.status == "warm")
+    if (row.state == RunnerState::warm)
       warmup_shares_.forget(row.name);
   if (!must_cover) {
     MapChange change = compare_maps(map_, fresh);
@@ -218,7 +218,7 @@
     entry.pool = row.pool;
     entry.zone = row.zone;
     entry.region = row.region;
-    entry.is_leaving = row.status == "leaving";
+    entry.is_leaving = row.state == RunnerState::draining;
     placed.runners.push_back(std::move(entry));
   }
   return placed;
--- a/packages/control-plane/src/control_membership.cpp
+++ b/packages/control-plane/src/control_membership.cpp
@@ -29,7 +29,7 @@
     if (is_edge()) {
       election_.set_roster(state.roster, state.term, state.master, now);
       for (const auto& entry : state.roster)
-        if (entry.address != settings_.self.address && known_[entry.address].entry.role.empty())
+        if (entry.address != settings_.self.address && known_[entry.address].entry.role == DaemonRole::unspecified)
           known_[entry.address].entry = entry;
     }
     replica_set_manager_.on_state();
@@ -40,7 +40,7 @@
 void ControlDaemon::keep_roster(TimePoint now) {
   std::vector<DaemonEntry> heard;
   for (const auto& [address, known] : known_)
-    if (known.entry.role == "edge" && now - known.heard <= alive_timeout)
+    if (known.entry.role == DaemonRole::edge && now - known.heard <= alive_timeout)
       heard.push_back(known.entry);
   if (!is_led_by_others(now))
     membership_registry_.enrol(heard, now);
@@ -79,7 +79,7 @@
   for (const auto& [address, known] : known_) {
     bool is_near =
         now - known.heard <= Duration{3000} || (proposer_.has_state() && has_daemon(proposer_.state().roster, address));
-    if (is_near && !known.entry.role.empty() && known.entry.role != "data")
+    if (is_near && known.entry.role != DaemonRole::unspecified && known.entry.role != DaemonRole::data)
       daemons.push_back(known.entry);
   }
   daemons.push_back(settings_.self);  // a master outside the set minds its own store as any other learner's
--- a/packages/control-plane/src/control_messages.cpp
+++ b/packages/control-plane/src/control_messages.cpp
@@ -48,7 +48,7 @@
 }
 
 void ControlDaemon::learn_from(const Address& from, const PingRequest& ping, TimePoint now) {
-  if (!ping.sender.role.empty() && ping.sender.role != "data") {
+  if (ping.sender.role != DaemonRole::unspecified && ping.sender.role != DaemonRole::data) {
     auto& known = known_[from];
     known.entry = ping.sender;
     known.heard = now;
@@ -65,7 +65,7 @@
   known.heard = now;
   known.master = response.master;
   for (const auto& entry : response.known_daemons)
-    if (entry.address != settings_.self.address && known_[entry.address].entry.role.empty())
+    if (entry.address != settings_.self.address && known_[entry.address].entry.role == DaemonRole::unspecified)
       known_[entry.address].entry = entry;
   proposer_.learn_acceptors(response.acceptors);
 }
@@ -193,8 +193,8 @@
   for (int round = 0; round < 2; ++round)
     for (const auto& [address, known] : known_) {
       bool is_near = known.entry.zone == ping.sender.zone;
-      if (known.entry.role.empty() || known.entry.role == "data" || is_near != (round == 0) || address == from ||
-          is_dead_member(address, now))
+      if (known.entry.role == DaemonRole::unspecified || known.entry.role == DaemonRole::data ||
+          is_near != (round == 0) || address == from || is_dead_member(address, now))
         continue;
       if (response.known_daemons.size() < 24)
         response.known_daemons.push_back(known.entry);
--- a/packages/control-plane/src/control_operators.cpp
+++ b/packages/control-plane/src/control_operators.cpp
@@ -113,7 +113,7 @@
   for (const auto& edge : map_.edges)
     others.insert(edge.daemon);
   for (const auto& [address, known] : known_)
-    if (known.entry.role == "edge")
+    if (known.entry.role == DaemonRole::edge)
       others.insert(address);
   others.erase(settings_.self.address);
   for (const auto& other : others)
@@ -241,7 +241,7 @@
     EditRequest request;
     request.change_id = "window-" + order.zone.text + "-" + std::to_string(proposer_.state().version) + "-" +
                         std::to_string(wall_seconds_);
-    request.action = "patch";
+    request.action = EditAction::patch;
     request.kind = orders_kind;
     request.name = order.zone.text;
     request.expected_version = -1;
--- a/packages/control-plane/src/edit_batch.cpp
+++ b/packages/control-plane/src/edit_batch.cpp
@@ -39,7 +39,7 @@
 }
 
 Step ensure(const FleetState& state, EditRequest request) {
-  request.action = "put";
+  request.action = EditAction::put;
   Step step;
   step.result = apply_edit(state, request, state.config_revision + 1);
   step.is_applied = step.result.code < 300;
@@ -56,7 +56,7 @@
     return refused(conflicting_id_code, conflicting_id_reason);
   if (!is_leader)
     return refused(503, "this daemon is master no more");
-  if (request.action == ensure_act)
+  if (request.action == EditAction::ensure)
     return ensure(state, request);
   Step step;
   if (request.kind == routing_table_kind) {
--- a/packages/control-plane/src/edit_forwarder.cpp
+++ b/packages/control-plane/src/edit_forwarder.cpp
@@ -20,7 +20,7 @@
 
 ForwardedBlock block_of(const EditRequest& request, std::int64_t version, TimePoint now) {
   ForwardedBlock passed;
-  if (request.action == "delete" || (request.kind != runners_kind && request.kind != orders_kind))
+  if (request.action == EditAction::remove || (request.kind != runners_kind && request.kind != orders_kind))
     return passed;
   Json body = Json::parse(request.body, nullptr, false);
   if (!body.is_object())
--- a/packages/control-plane/src/main.cpp
+++ b/packages/control-plane/src/main.cpp
@@ -62,7 +62,7 @@
     if (!listens)
       return refuse(listens.reason);
     process_.start();
-    LOG(INFO) << "serving as " << settings_.self.role << " " << settings_.self.address << ", http "
+    LOG(INFO) << "serving as " << to_string(settings_.self.role) << " " << settings_.self.address << ", http "
               << settings_.self.http_address;
     int signal = wait_for_stop();
     LOG(INFO) << "stopping on signal " << signal;
@@ -128,8 +128,8 @@
   auto arguments = docopt::docopt(usage, {words + 1, words + count}, true, "emberdale-control-plane 0.1");
   std::vector<std::string> findings;
   bool is_core = arguments["--data-folder"].isString();
-  ProgramSettings settings = read_settings(arguments, "edge", findings);
-  settings.self.role = is_core || !settings.data_folder.empty() ? "core" : "edge";
+  ProgramSettings settings = read_settings(arguments, DaemonRole::edge, findings);
+  settings.self.role = is_core || !settings.data_folder.empty() ? DaemonRole::core : DaemonRole::edge;
   if (!findings.empty()) {
     for (const auto& finding : findings)
       std::cerr << "emberdale-control-plane: " << finding << "\n";
--- a/packages/control-plane/src/master_edits.cpp
+++ b/packages/control-plane/src/master_edits.cpp
@@ -191,7 +191,7 @@
             {"findings", Json::parse(findings_json(result.findings))}};
   edit.response = EditResponse{0, result.code, result.version, json_text(body), 0, 0};
   journal_.append(now, "edit",
-                  edit.request.action + " " + edit.request.kind + "/" + edit.request.name + " version " +
+                  to_string(edit.request.action) + " " + edit.request.kind + "/" + edit.request.name + " version " +
                       std::to_string(result.version));
 }
 
--- a/packages/control-plane/src/membership_reconciler.cpp
+++ b/packages/control-plane/src/membership_reconciler.cpp
@@ -51,7 +51,7 @@
     if (asked != asked_.end() && now - asked->second < request_interval)
       continue;
     asked_[daemon.address] = now;
-    out_.push_back({daemon.address, ReadRequest{ask_, "data", proposer_.ballot(), false, false}});
+    out_.push_back({daemon.address, ReadRequest{ask_, DaemonRole::data, proposer_.ballot(), false, false}});
   }
 }
 
--- a/packages/control-plane/src/routing_table_edits.cpp
+++ b/packages/control-plane/src/routing_table_edits.cpp
@@ -18,8 +18,8 @@
   result.edit.resources = state.resources;
   result.edit.deleted_version = state.deleted_version;
   const Resource* known = table_of(state.resources);
-  RoutingTableChange change =
-      change_routing_table(known == nullptr ? "" : known->body, edit.action, edit.expected_version, edit.body);
+  RoutingTableChange change = change_routing_table(known == nullptr ? "" : known->body, to_string(edit.action),
+                                                   edit.expected_version, edit.body);
   result.edit.code = change.code;
   result.edit.version = change.revision;
   result.edit.findings = change.findings;
--- a/packages/control-plane/src/runner_health_monitor.cpp
+++ b/packages/control-plane/src/runner_health_monitor.cpp
@@ -62,9 +62,14 @@
     auto known = known_.find(row.name);
     if (known != known_.end() && now - known->second.at <= status_lifetime)
       continue;
-    RunnerStatus status{
-        row.name, row.status != "down", row.status == "cold", row.incarnation, row.capacity, row.load, row.allowance,
-        0};
+    RunnerStatus status{row.name,
+                        row.state != RunnerState::down,
+                        row.state == RunnerState::warming_up,
+                        row.incarnation,
+                        row.capacity,
+                        row.load,
+                        row.allowance,
+                        0};
     known_[row.name] = {status, TimePoint{now.value - status_lifetime.value / 2}};
   }
 }
--- a/packages/control-plane/tests/catch_up_test.cpp
+++ b/packages/control-plane/tests/catch_up_test.cpp
@@ -33,7 +33,7 @@
 }
 
 // Changes the table at one machine, and waits until that is acknowledged.
-bool change_table(MachineFleet& fleet, const std::string& where, const std::string& act, std::int64_t base,
+bool change_table(MachineFleet& fleet, const std::string& where, EditAction act, std::int64_t base,
                   const std::string& body) {
   std::int64_t code = 0;
   fleet.act(where, [&](ControlDaemon& daemon, TimePoint now) {
@@ -64,7 +64,8 @@
   *step = [&fleet, late, seen, step] {
     fleet.act(late, [&](ControlDaemon& daemon, TimePoint now) {
       Subscribe subscribe;
-      subscribe.sender = DaemonEntry{Address{"10.0.1.1:7001"}, "http-d", "data", ZoneName{"a"}, RegionName{"north"}, 1};
+      subscribe.sender =
+          DaemonEntry{Address{"10.0.1.1:7001"}, "http-d", DaemonRole::data, ZoneName{"a"}, RegionName{"north"}, 1};
       subscribe.topics.push_back({plans_topic, MapVersion{}});
       subscribe.sent_at = 1;
       daemon.on_message(subscribe.sender.address, subscribe, now);
@@ -96,13 +97,14 @@
     auto names = bring_up(fleet, 3);
     std::string master = fleet.master();
     std::string late = master == names[0] ? names[1] : names[0];
-    ASSERT_TRUE(change_table(fleet, master, "replace", 0, first_table()));
+    ASSERT_TRUE(change_table(fleet, master, EditAction::replace, 0, first_table()));
     fleet.run(1000);
     std::size_t disk_before = fleet.at(late).files->bytes();
     fleet.power_cut(late);
     fleet.run(3000);
     for (int i = 0; i < speed.changes; ++i)
-      ASSERT_TRUE(change_table(fleet, fleet.master(), "amend", i + 1, amendment(i + 2))) << i << fleet.story();
+      ASSERT_TRUE(change_table(fleet, fleet.master(), EditAction::amend, i + 1, amendment(i + 2)))
+          << i << fleet.story();
     master = fleet.master();
     std::size_t value = value_size(fleet, master);
     EXPECT_GT(value, 300000u);
@@ -161,11 +163,12 @@
     auto names = bring_up(fleet, 3);
     std::string master = fleet.master();
     std::string late = master == names[0] ? names[1] : names[0];
-    ASSERT_TRUE(change_table(fleet, master, "replace", 0, first_table()));
+    ASSERT_TRUE(change_table(fleet, master, EditAction::replace, 0, first_table()));
     fleet.power_cut(late);
     fleet.run(3000);
     for (int i = 0; i < 20; ++i)
-      ASSERT_TRUE(change_table(fleet, fleet.master(), "amend", i + 1, amendment(i + 2))) << i << fleet.story();
+      ASSERT_TRUE(change_table(fleet, fleet.master(), EditAction::amend, i + 1, amendment(i + 2)))
+          << i << fleet.story();
     master = fleet.master();
     auto seen = std::make_shared<Watch>();
     seen->newest_state = fleet.state(master).version;
@@ -211,13 +214,13 @@
   auto names = bring_up(fleet, 6);
   std::string master = fleet.master();
   std::string slow = master == names[0] ? names[1] : names[0];
-  ASSERT_TRUE(change_table(fleet, master, "replace", 0, first_table()));
+  ASSERT_TRUE(change_table(fleet, master, EditAction::replace, 0, first_table()));
   fleet.at(slow).disk_slowness = 10000;
   std::size_t most = 0;
   std::int64_t end = fleet.now() + 20000;
   int done = 0;
   while (fleet.now() < end) {
-    ASSERT_TRUE(change_table(fleet, fleet.master(), "amend", done + 1, amendment(done + 2))) << fleet.story();
+    ASSERT_TRUE(change_table(fleet, fleet.master(), EditAction::amend, done + 1, amendment(done + 2))) << fleet.story();
     ++done;
     fleet.run(50);
     most = std::max(most, fleet.at(slow).to_write.size() + fleet.at(slow).control->acceptor()->unsynced());
--- a/packages/control-plane/tests/edit_batch_test.cpp
+++ b/packages/control-plane/tests/edit_batch_test.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-EditRequest ask_of(const std::string& change, const std::string& act, const std::string& kind, const std::string& name,
+EditRequest ask_of(const std::string& change, EditAction act, const std::string& kind, const std::string& name,
                    std::int64_t expected, const std::string& body) {
   return EditRequest{1, change, act, kind, name, expected, body};
 }
@@ -29,16 +29,16 @@
   std::int64_t expected = random.below(5) - 1;
   switch (random.below(5)) {
     case 0:
-      return ask_of(change, "put", orders_kind, name, expected, R"({"state":"emptied"})");
+      return ask_of(change, EditAction::put, orders_kind, name, expected, R"({"state":"emptied"})");
     case 1:
-      return ask_of(change, "put", orders_kind, name, expected, R"({"state":"serving"})");
+      return ask_of(change, EditAction::put, orders_kind, name, expected, R"({"state":"serving"})");
     case 2:
-      return ask_of(change, "delete", orders_kind, name, expected, "");
+      return ask_of(change, EditAction::remove, orders_kind, name, expected, "");
     case 3:
-      return ask_of(change, "put", orders_kind, name, expected, "not JSON");
+      return ask_of(change, EditAction::put, orders_kind, name, expected, "not JSON");
     default:
-      return ask_of(change, "replace", routing_table_kind, routing_table_name, std::max<std::int64_t>(0, expected),
-                    table(random.below(6), 1));
+      return ask_of(change, EditAction::replace, routing_table_kind, routing_table_name,
+                    std::max<std::int64_t>(0, expected), table(random.below(6), 1));
   }
 }
 
@@ -81,11 +81,12 @@
 
 TEST(EditBatch, WhoLeadsNoMoreAppliesNothingAndTellsWhatWasDone) {
   FleetState state;
-  EditRequest done = ask_of("change-1", "put", orders_kind, "a", -1, R"({"state":"emptied"})");
+  EditRequest done = ask_of("change-1", EditAction::put, orders_kind, "a", -1, R"({"state":"emptied"})");
   EditBatch first{{{done, {}}}};
   EXPECT_TRUE(first.work_out(state, true));
   std::string before = encode_state(state);
-  EditBatch late{{{done, {}}, {ask_of("change-2", "put", orders_kind, "b", -1, R"({"state":"emptied"})"), {}}}};
+  EditBatch late{
+      {{done, {}}, {ask_of("change-2", EditAction::put, orders_kind, "b", -1, R"({"state":"emptied"})"), {}}}};
   EXPECT_FALSE(late.work_out(state, false));
   EXPECT_EQ(late.edits[0].result.code, 200);
   EXPECT_EQ(late.edits[1].result.code, 503);
@@ -95,9 +96,10 @@
 // Two operators build on one version of the table: one of them wins, and a third that sends the same is told so.
 TEST(EditBatch, OfTwoTablesOnOneBaseOneIsTaken) {
   FleetState state;
-  EditBatch batch{{{ask_of("change-1", "replace", routing_table_kind, routing_table_name, 0, table(7, 1)), {}},
-                   {ask_of("change-2", "replace", routing_table_kind, routing_table_name, 0, table(8, 2)), {}},
-                   {ask_of("change-3", "replace", routing_table_kind, routing_table_name, 0, table(7, 1)), {}}}};
+  EditBatch batch{
+      {{ask_of("change-1", EditAction::replace, routing_table_kind, routing_table_name, 0, table(7, 1)), {}},
+       {ask_of("change-2", EditAction::replace, routing_table_kind, routing_table_name, 0, table(8, 2)), {}},
+       {ask_of("change-3", EditAction::replace, routing_table_kind, routing_table_name, 0, table(7, 1)), {}}}};
   EXPECT_TRUE(batch.work_out(state, true));
   EXPECT_EQ(batch.edits[0].result.code, 200);
   EXPECT_EQ(batch.edits[1].result.code, 412);
@@ -108,19 +110,19 @@
 TEST(EditBatch, WhatIsEnsuredAndThereAlreadyNeedsNoWrite) {
   const std::string emptied = R"({"state":"emptied"})", serving = R"({"state":"serving"})";
   FleetState state;
-  EditBatch begin{{{ask_of("change-1", ensure_act, orders_kind, "a", -1, emptied), {}}}};
+  EditBatch begin{{{ask_of("change-1", EditAction::ensure, orders_kind, "a", -1, emptied), {}}}};
   EXPECT_TRUE(begin.work_out(state, true));
   EXPECT_EQ(begin.edits[0].result.code, 201);
-  EditBatch again{{{ask_of("change-2", ensure_act, orders_kind, "a", -1, emptied), {}}}};
+  EditBatch again{{{ask_of("change-2", EditAction::ensure, orders_kind, "a", -1, emptied), {}}}};
   EXPECT_FALSE(again.work_out(state, true));
   EXPECT_EQ(again.edits[0].result.code, 200);
   EXPECT_EQ(again.edits[0].result.version, begin.edits[0].result.version);
-  EditBatch finish{{{ask_of("change-3", ensure_act, orders_kind, "a", -1, serving), {}}}};
+  EditBatch finish{{{ask_of("change-3", EditAction::ensure, orders_kind, "a", -1, serving), {}}}};
   EXPECT_TRUE(finish.work_out(state, true));
-  EditBatch put{{{ask_of("change-4", "put", orders_kind, "a", -1, serving), {}}}};
+  EditBatch put{{{ask_of("change-4", EditAction::put, orders_kind, "a", -1, serving), {}}}};
   EXPECT_TRUE(put.work_out(state, true));  // who puts gets a version of its own
   EXPECT_GT(put.edits[0].result.version, finish.edits[0].result.version);
-  EditBatch broken{{{ask_of("change-5", ensure_act, orders_kind, "a", -1, "not JSON"), {}}}};
+  EditBatch broken{{{ask_of("change-5", EditAction::ensure, orders_kind, "a", -1, "not JSON"), {}}}};
   EXPECT_FALSE(broken.work_out(state, true));
   EXPECT_GE(broken.edits[0].result.code, 400);
 }
@@ -183,8 +185,8 @@
         fleet.delay = 28;
         fleet.sync_time = sync_time;
         fleet.run(2000);
-        auto taken = fleet.request(fleet.master(),
-                                   ask_of("", "replace", routing_table_kind, routing_table_name, 0, table(1, routes)));
+        auto taken = fleet.request(fleet.master(), ask_of("", EditAction::replace, routing_table_kind,
+                                                          routing_table_name, 0, table(1, routes)));
         ASSERT_TRUE(fleet.run_until([&] { return taken->is_over; }, 8000)) << fleet.story();
         EXPECT_TRUE(taken->is_acknowledged());
         fleet.run(1000);
--- a/packages/control-plane/tests/edit_forwarder_test.cpp
+++ b/packages/control-plane/tests/edit_forwarder_test.cpp
@@ -14,7 +14,7 @@
   EditRequest request;
   request.request_id = 7;
   request.change_id = "change-7";
-  request.action = "patch";
+  request.action = EditAction::patch;
   request.kind = kind;
   request.name = name;
   request.body = body;
@@ -113,7 +113,7 @@
   state.term = 4;
   state.master.text = "a";
   for (const char* name : {"a", "b", "c", "d", "e"}) {
-    state.roster.push_back({Address{name}, name, "edge", {}, {}, 1});
+    state.roster.push_back({Address{name}, name, DaemonRole::edge, {}, {}, 1});
     state.lease_roster.push_back(Address{name});
   }
   auto wait = [&](const std::set<Address>& promised, const FleetState& before) {
--- a/packages/control-plane/tests/master_edits_test.cpp
+++ b/packages/control-plane/tests/master_edits_test.cpp
@@ -18,7 +18,7 @@
   EditRequest request;
   request.change_id = change;
   request.term = 1;  // the leader's
-  request.action = "put";
+  request.action = EditAction::put;
   request.kind = orders_kind;
   request.name = zone;
   request.expected_version = -1;
@@ -35,11 +35,11 @@
     state.version = state.term = 1;
     state.master = self;
     state.acceptors = {{StoreId{"s"}, self}};
-    state.roster = {DaemonEntry{self, "", "edge", ZoneName{"z"}, RegionName{"r"}, 1}};
+    state.roster = {DaemonEntry{self, "", DaemonRole::edge, ZoneName{"z"}, RegionName{"r"}, 1}};
     state.completed_changes = std::move(done);
     acceptor_.on_message(self, BootstrapRequest{1, StoreId{"s"}, {encode_state(state)}}, now);
     proposer_.learn_acceptors(state.acceptors);
-    proposer_.poll(now, "edge", false);
+    proposer_.poll(now, DaemonRole::edge, false);
     run();
     edits_.begin();
   }
@@ -83,8 +83,10 @@
 };
 
 MasterElection Leader::leading_election() {
-  MasterElection election(DaemonEntry{self, "", "edge", ZoneName{"z"}, RegionName{"r"}, 1}, RandomGenerator(1));
-  election.set_roster({DaemonEntry{self, "", "edge", ZoneName{"z"}, RegionName{"r"}, 1}}, 0, Address{}, TimePoint{0});
+  MasterElection election(DaemonEntry{self, "", DaemonRole::edge, ZoneName{"z"}, RegionName{"r"}, 1},
+                          RandomGenerator(1));
+  election.set_roster({DaemonEntry{self, "", DaemonRole::edge, ZoneName{"z"}, RegionName{"r"}, 1}}, 0, Address{},
+                      TimePoint{0});
   election.start(TimePoint{0});
   for (TimePoint at{0}; at < now && !election.drain_claim(); at = at + Duration{10})
     election.on_timer(at);
@@ -103,7 +105,8 @@
   EXPECT_EQ(change_digest(request), change_digest(copy));
   EXPECT_FALSE(change_digest(request) == change_digest(order("id", "z2")));
   EditRequest split = request;
-  split.action = "put\n1";  // no boundary between the parts can be moved
+  split.kind += "\n2\n" + split.name;  // no boundary between the parts can be moved
+  split.name.clear();
   EXPECT_FALSE(change_digest(request) == change_digest(split));
   copy = request;
   copy.expected_version = 4;
--- a/packages/control-plane/tests/one_process_test.cpp
+++ b/packages/control-plane/tests/one_process_test.cpp
@@ -223,7 +223,7 @@
   RegisterProposer proposer(Address{"a"}, RandomGenerator(1));
   proposer.learn_acceptors(state.acceptors);
   auto hear_set = [&](MembershipReconciler& reconciler, const std::set<std::string>& living, TimePoint now) {
-    proposer.poll(now, "edge", true);
+    proposer.poll(now, DaemonRole::edge, true);
     std::int64_t ask = std::get<ReadRequest>(proposer.drain_outbound().front().message).request_id;
     for (const auto& name : living) {
       ReadResponse response;
@@ -240,7 +240,8 @@
     }
   };
   auto due_with = [&](std::int64_t ballot, bool is_blank, std::int64_t length) -> std::string {
-    MembershipReconciler reconciler(proposer, DaemonEntry{Address{"a"}, "", "edge", ZoneName{"z"}, RegionName{"r"}, 1},
+    MembershipReconciler reconciler(proposer,
+                                    DaemonEntry{Address{"a"}, "", DaemonRole::edge, ZoneName{"z"}, RegionName{"r"}, 1},
                                     MembershipPolicy{}, RandomGenerator(1));
     reconciler.start(TimePoint{0});
     reconciler.set_right({DecisionRight::Kind::leaderless, state.term});
@@ -248,7 +249,8 @@
       TimePoint now{ms};
       reconciler.on_timer(now);
       hear_set(reconciler, {"a", "b"}, now);
-      reconciler.observe_daemons({DaemonEntry{Address{"d"}, "", "edge", ZoneName{"z"}, RegionName{"r"}, 1}}, now);
+      reconciler.observe_daemons({DaemonEntry{Address{"d"}, "", DaemonRole::edge, ZoneName{"z"}, RegionName{"r"}, 1}},
+                                 now);
       for (const auto& message : reconciler.drain_outbound()) {
         ReadResponse response;
         response.request_id = std::get<ReadRequest>(message.message).request_id;
--- a/packages/control-plane/tests/order_age_test.cpp
+++ b/packages/control-plane/tests/order_age_test.cpp
@@ -221,7 +221,7 @@
 
 // A daemon that leads again after another did works out nothing that it took in before.
 TEST(OrderAge, AnEditIsWorkedOutInTheTermThatTookItInOrNever) {
-  DaemonEntry self{Address{"a"}, "http-a", "edge", ZoneName{"a"}, RegionName{"north"}, 1};
+  DaemonEntry self{Address{"a"}, "http-a", DaemonRole::edge, ZoneName{"a"}, RegionName{"north"}, 1};
   RegisterProposer proposer(self.address, RandomGenerator(1));
   MasterElection election(self, RandomGenerator(2));
   EventJournal journal(8);
--- a/packages/control-plane/tests/routing_table_edits_test.cpp
+++ b/packages/control-plane/tests/routing_table_edits_test.cpp
@@ -19,7 +19,7 @@
          R"(","kind":"retry_safe","horizon_ms":8000,"pool":"m"}],"pools":[{"name":"m"}]})";
 }
 
-EditRequest edit(const std::string& act, std::int64_t base, const std::string& body) {
+EditRequest edit(EditAction act, std::int64_t base, const std::string& body) {
   return EditRequest{1, "change", act, routing_table_kind, routing_table_name, base, body};
 }
 
@@ -61,7 +61,7 @@
 TEST(RoutingTableEdits, TheFirstTableIsAddedAndOthersStayAsTheyAre) {
   FleetState blank = blank_state();
   EXPECT_EQ(routing_table_document_of(blank), "");
-  RoutingTableEditResult result = apply_routing_table_edit(blank, edit("replace", 0, table(7)), 7);
+  RoutingTableEditResult result = apply_routing_table_edit(blank, edit(EditAction::replace, 0, table(7)), 7);
   ASSERT_EQ(result.edit.code, 200) << result.edit.reason;
   EXPECT_FALSE(result.is_repeat);
   EXPECT_EQ(result.edit.version, 7);
@@ -72,14 +72,15 @@
   ASSERT_NE(added, nullptr);
   EXPECT_EQ(added->version, 7);          // the operator's revision
   EXPECT_EQ(added->config_revision, 7);  // the register's
-  EXPECT_EQ(Json::parse(routing_table_document_of(after(blank, edit("replace", 0, table(7))))), Json::parse(table(7)));
+  EXPECT_EQ(Json::parse(routing_table_document_of(after(blank, edit(EditAction::replace, 0, table(7))))),
+            Json::parse(table(7)));
 }
 
 TEST(RoutingTableEdits, OfTwoChangesOnOneBaseOneIsTaken) {
-  FleetState state = after(blank_state(), edit("replace", 0, table(7)));
-  FleetState won = after(state, edit("replace", 7, table(9, "/won/")));
+  FleetState state = after(blank_state(), edit(EditAction::replace, 0, table(7)));
+  FleetState won = after(state, edit(EditAction::replace, 7, table(9, "/won/")));
   RoutingTableEditResult lost =
-      apply_routing_table_edit(won, edit("replace", 7, table(12, "/lost/")), won.config_revision + 1);
+      apply_routing_table_edit(won, edit(EditAction::replace, 7, table(12, "/lost/")), won.config_revision + 1);
   EXPECT_EQ(lost.edit.code, 412);
   EXPECT_EQ(lost.edit.version, 9);
   EXPECT_FALSE(lost.is_repeat);
@@ -88,10 +89,10 @@
 }
 
 TEST(RoutingTableEdits, TheSameChangeAgainWritesNothingAlsoAfterOthers) {
-  FleetState state = after(blank_state(), edit("replace", 0, table(7)));
-  state = after(state, edit("replace", 7, table(9)));
-  state = after(state, edit("replace", 9, table(30)));
-  EditRequest again = edit("replace", 7, table(9));
+  FleetState state = after(blank_state(), edit(EditAction::replace, 0, table(7)));
+  state = after(state, edit(EditAction::replace, 7, table(9)));
+  state = after(state, edit(EditAction::replace, 9, table(30)));
+  EditRequest again = edit(EditAction::replace, 7, table(9));
   again.change_id = "sent-again";  // a copy from elsewhere has another id
   RoutingTableEditResult result = apply_routing_table_edit(state, again, state.config_revision + 1);
   EXPECT_EQ(result.edit.code, 200);
@@ -103,19 +104,22 @@
 TEST(RoutingTableEdits, AChangeTooOldToTellIsNeitherAcknowledgedNorRefused) {
   FleetState state = blank_state();
   for (std::int64_t revision = 1; revision <= 131; ++revision)
-    state = after(state, edit("replace", revision - 1, table(revision)));
+    state = after(state, edit(EditAction::replace, revision - 1, table(revision)));
   state = *decode_state(encode_state(state));  // as after a restart
-  EXPECT_TRUE(apply_routing_table_edit(state, edit("replace", 130, table(131)), state.config_revision + 1).is_repeat);
-  EXPECT_TRUE(apply_routing_table_edit(state, edit("replace", 3, table(4)), state.config_revision + 1).is_repeat);
-  RoutingTableEditResult old = apply_routing_table_edit(state, edit("replace", 2, table(3)), state.config_revision + 1);
+  EXPECT_TRUE(
+      apply_routing_table_edit(state, edit(EditAction::replace, 130, table(131)), state.config_revision + 1).is_repeat);
+  EXPECT_TRUE(
+      apply_routing_table_edit(state, edit(EditAction::replace, 3, table(4)), state.config_revision + 1).is_repeat);
+  RoutingTableEditResult old =
+      apply_routing_table_edit(state, edit(EditAction::replace, 2, table(3)), state.config_revision + 1);
   EXPECT_EQ(old.edit.code, 504);
   EXPECT_FALSE(old.is_repeat);
   EXPECT_EQ(shown(old.edit.resources), shown(state.resources));
 }
 
 TEST(RoutingTableEdits, AnAmendmentChangesWhatItNames) {
-  FleetState state = after(blank_state(), edit("replace", 0, table(7)));
-  state = after(state, edit("amend", 7,
+  FleetState state = after(blank_state(), edit(EditAction::replace, 0, table(7)));
+  state = after(state, edit(EditAction::amend, 7,
                             R"({"revision":9,"upsert":{"pools":[{"name":"n"}],"routes":[{"name":"r2","host":"b.example",
     "path_prefix":"/","kind":"once_only","horizon_ms":5,"pool":"n"}]}})"));
   Json document = Json::parse(routing_table_document_of(state));
@@ -126,29 +130,29 @@
       std::count_if(state.resources.begin(), state.resources.end(),
                     [](const Resource& r) { return r.kind == routing_table_kind && r.name == routing_table_name; }),
       1);
-  state = after(state, edit("amend", 9, R"({"revision":15,"remove":{"routes":["r1"]}})"));
+  state = after(state, edit(EditAction::amend, 9, R"({"revision":15,"remove":{"routes":["r1"]}})"));
   EXPECT_EQ(Json::parse(routing_table_document_of(state))["routes"][0]["name"], "r2");
   EXPECT_EQ(table_in(state.resources)->version, 15);
 }
 
 TEST(RoutingTableEdits, ARefusalLeavesTheStateAsItWas) {
-  FleetState state = after(blank_state(), edit("replace", 0, table(7)));
+  FleetState state = after(blank_state(), edit(EditAction::replace, 0, table(7)));
   const std::vector<std::pair<EditRequest, int>> refused{
-      {edit("replace", 7, "oops"), 400},
-      {edit("replace", 7, R"({"revision":1e999})"), 400},
-      {edit("replace", 7, R"({"revision":9})"), 400},  // neither routes nor pools
-      {edit("replace", 7, table(7)), 400},             // not above the current one
-      {edit("replace", 7, table(3)), 400},
-      {edit("replace", 6, table(9)), 412},
-      {edit("amend", 8, R"({"revision":9})"), 412},
-      {edit("amend", 7, R"({"revision":9,"remove":{"pools":["m"]}})"), 400},  // a route still names it
-      {edit("amend", 7, R"({"revision":9,"remove":{"routes":["none"]}})"), 400},
-      {edit("put", 7, table(9)), 400},
-      {edit("delete", 7, ""), 400},
+      {edit(EditAction::replace, 7, "oops"), 400},
+      {edit(EditAction::replace, 7, R"({"revision":1e999})"), 400},
+      {edit(EditAction::replace, 7, R"({"revision":9})"), 400},  // neither routes nor pools
+      {edit(EditAction::replace, 7, table(7)), 400},             // not above the current one
+      {edit(EditAction::replace, 7, table(3)), 400},
+      {edit(EditAction::replace, 6, table(9)), 412},
+      {edit(EditAction::amend, 8, R"({"revision":9})"), 412},
+      {edit(EditAction::amend, 7, R"({"revision":9,"remove":{"pools":["m"]}})"), 400},  // a route still names it
+      {edit(EditAction::amend, 7, R"({"revision":9,"remove":{"routes":["none"]}})"), 400},
+      {edit(EditAction::put, 7, table(9)), 400},
+      {edit(EditAction::remove, 7, ""), 400},
   };
   for (const auto& [ask, code] : refused) {
     RoutingTableEditResult result = apply_routing_table_edit(state, ask, state.config_revision + 1);
-    EXPECT_EQ(result.edit.code, code) << ask.action << " " << ask.body;
+    EXPECT_EQ(result.edit.code, code) << to_string(ask.action) << " " << ask.body;
     EXPECT_EQ(shown(result.edit.resources), shown(state.resources)) << ask.body;
     EXPECT_EQ(result.edit.deleted_version, state.deleted_version);
     EXPECT_EQ(result.edit.version, 7);
--- a/packages/control-plane/tests/stale_daemon_test.cpp
+++ b/packages/control-plane/tests/stale_daemon_test.cpp
@@ -106,7 +106,8 @@
 
 Subscribe subscribe_from_blank(std::int64_t stamp) {
   Subscribe subscribe;
-  subscribe.sender = DaemonEntry{Address{"10.0.1.1:7001"}, "http-d", "data", ZoneName{"a"}, RegionName{"north"}, 1};
+  subscribe.sender =
+      DaemonEntry{Address{"10.0.1.1:7001"}, "http-d", DaemonRole::data, ZoneName{"a"}, RegionName{"north"}, 1};
   subscribe.topics.push_back({plans_topic, MapVersion{}});
   subscribe.sent_at = stamp;
   return subscribe;
@@ -276,7 +277,8 @@
                  std::function<bool()> is_alive) {
     if (is_alive() && fleet_.at(home).is_up && !fleet_.at(home).is_frozen) {
       Subscribe subscribe;
-      subscribe.sender = DaemonEntry{address_of(name), "http-" + name, "data", ZoneName{zone}, RegionName{"north"}, 1};
+      subscribe.sender =
+          DaemonEntry{address_of(name), "http-" + name, DaemonRole::data, ZoneName{zone}, RegionName{"north"}, 1};
       subscribe.topics.push_back({plans_topic, MapVersion{1, 1}});
       subscribe.version = MapVersion{1, 1};
       subscribe.sent_at = fleet_.now() + 1;
--- a/packages/control-plane/tests/support/machine_fleet.hpp
+++ b/packages/control-plane/tests/support/machine_fleet.hpp
@@ -115,7 +115,8 @@
     auto restored = acceptor->restore(opening->records);
     ASSERT_TRUE(restored) << restored.reason;
     ControlDaemonSettings settings;
-    settings.self = DaemonEntry{made.address, "http-" + name, "edge", made.zone, RegionName{"north"}, made.starts};
+    settings.self =
+        DaemonEntry{made.address, "http-" + name, DaemonRole::edge, made.zone, RegionName{"north"}, made.starts};
     settings.seeds = made.seeds.empty() ? seeds_ : made.seeds;
     settings.random_seed = seed_ * 1000003 + stable_hash(name) + static_cast<std::uint64_t>(made.starts);
     settings.bootstraps_itself = bootstraps_itself;
@@ -349,7 +350,7 @@
 
   std::shared_ptr<EditOutcome> edit(const std::string& where) {
     EditRequest edit_request;
-    edit_request.action = "put";
+    edit_request.action = EditAction::put;
     edit_request.kind = "runners";
     edit_request.expected_version = -1;
     edit_request.name = "runner-" + std::to_string(last_edit_ + 1);
@@ -361,7 +362,7 @@
   // An operator's order for a zone. Example: fleet.order("a0", "a", true)
   std::shared_ptr<EditOutcome> order(const std::string& where, const std::string& zone, bool is_evacuated) {
     EditRequest edit_request;
-    edit_request.action = ensure_act;
+    edit_request.action = EditAction::ensure;
     edit_request.kind = "zone-orders";
     edit_request.expected_version = -1;
     edit_request.name = zone;
@@ -372,7 +373,7 @@
   // A runner is marked as leaving, or as staying. Example: fleet.mark_runner("a0", "runner-1", true)
   std::shared_ptr<EditOutcome> mark_runner(const std::string& where, const std::string& runner, bool is_leaving) {
     EditRequest edit_request;
-    edit_request.action = "patch";
+    edit_request.action = EditAction::patch;
     edit_request.kind = "runners";
     edit_request.expected_version = -1;
     edit_request.name = runner;
--- a/packages/control-plane/tests/support/operator_scenario.hpp
+++ b/packages/control-plane/tests/support/operator_scenario.hpp
@@ -108,8 +108,8 @@
     edit_request.kind = routing_table_kind;
     edit_request.name = routing_table_name;
     edit_request.expected_version = base;
-    edit_request.action = base > 0 && random_.chance(0.3) ? "amend" : "replace";
-    edit_request.body = edit_request.action == "amend"
+    edit_request.action = base > 0 && random_.chance(0.3) ? EditAction::amend : EditAction::replace;
+    edit_request.body = edit_request.action == EditAction::amend
                             ? R"({"revision":)" + revision + R"(,"upsert":{"routes":[)" + route + "]}}"
                             : R"({"revision":)" + revision + R"(,"routes":[)" + route + R"(],"pools":[{"name":"m"}]})";
     return edit_request;
@@ -120,7 +120,7 @@
     EditRequest edit_request;
     edit_request.kind = orders_kind;
     edit_request.name = random_.chance(0.5) ? "a" : "b";
-    edit_request.action = "put";
+    edit_request.action = EditAction::put;
     edit_request.expected_version = -1;
     edit_request.body = std::string(R"({"state":")") + (random_.chance(0.5) ? "emptied" : "serving") + R"(","note":")" +
                         std::to_string(++last_text_) + R"("})";
--- a/packages/data-plane/src/data_daemon.cpp
+++ b/packages/data-plane/src/data_daemon.cpp
@@ -51,7 +51,7 @@
 
 // Any control daemon's word counts: a home that is cut off from the master can't know that it is.
 void DataDaemon::observe_named_version(const DaemonEntry& sender, const MapVersion& version, TimePoint now) {
-  if (sender.role == "edge" && !awaited_ && book_.oldest_version() < version)
+  if (sender.role == DaemonRole::edge && !awaited_ && book_.oldest_version() < version)
     awaited_ = NamedVersion{version, now};
 }
 
@@ -69,7 +69,7 @@
   if (!near.empty())
     return near;
   for (const auto& [address, known] : known_) {
-    if (known.entry.role != "edge" || now - known.heard > alive_timeout)
+    if (known.entry.role != DaemonRole::edge || now - known.heard > alive_timeout)
       continue;
     auto shunned = shunned_.find(address);
     if (shunned != shunned_.end() && now < shunned->second)
@@ -130,7 +130,7 @@
     observe_named_version(response->sender, response->version, now);
     bool is_new = false;
     for (const auto& entry : response->known_daemons)
-      if (known_[entry.address].entry.role.empty()) {
+      if (known_[entry.address].entry.role == DaemonRole::unspecified) {
         known_[entry.address].entry = entry;
         is_new = true;
       }
@@ -139,7 +139,7 @@
     if (view()->edges.empty()) {
       if (is_new)
         ping_near();
-      if (response->sender.role == "edge")
+      if (response->sender.role == DaemonRole::edge)
         subscribe_next_ = now;
     }
   }
@@ -222,7 +222,7 @@
   for (auto& [name, row] : barred->runners)
     for (const auto& [change, held] : holds_)
       if (held.block.runner == name || (!held.block.zone.empty() && held.block.zone == row.zone))
-        row.status = held.block.runner == name ? "leaving" : "emptied";
+        row.state = held.block.runner == name ? RunnerState::draining : RunnerState::evacuated;
   view_ = barred;
 }
 
@@ -242,7 +242,7 @@
 
 void DataDaemon::ping_near() {
   for (const auto& [address, known] : known_)
-    if (known.entry.role == "edge" && known.entry.zone == self_.zone)
+    if (known.entry.role == DaemonRole::edge && known.entry.zone == self_.zone)
       out_.push_back({address, PingRequest{0, self_, {}, book_.version()}});
 }
 
@@ -251,7 +251,7 @@
     ping_next_ = now + (view()->edges.empty() ? seeking_pace : ping_pace);
     std::vector<Address> others;
     for (const auto& [address, known] : known_) {
-      bool is_near = view()->edges.empty() && known.entry.role == "edge" && known.entry.zone == self_.zone;
+      bool is_near = view()->edges.empty() && known.entry.role == DaemonRole::edge && known.entry.zone == self_.zone;
       bool is_seed = std::find(seeds_.begin(), seeds_.end(), address) != seeds_.end();
       if (is_near || (is_seed && now - known.heard > alive_timeout))
         out_.push_back({address, PingRequest{0, self_, {}, book_.version()}});
--- a/packages/data-plane/src/main.cpp
+++ b/packages/data-plane/src/main.cpp
@@ -34,7 +34,7 @@
 int main(int count, char** words) {
   auto arguments = docopt::docopt(usage, {words + 1, words + count}, true, "emberdale-data-plane 0.1");
   std::vector<std::string> findings;
-  ProgramSettings settings = read_settings(arguments, "data", findings);
+  ProgramSettings settings = read_settings(arguments, DaemonRole::data, findings);
   if (!findings.empty()) {
     for (const auto& finding : findings)
       std::cerr << "emberdale-data-plane: " << finding << "\n";
--- a/packages/data-plane/tests/call_relay_test.cpp
+++ b/packages/data-plane/tests/call_relay_test.cpp
@@ -50,7 +50,7 @@
       row.http_address = runner_place;
       row.pool.text = "p";
       row.region.text = "here";
-      row.status = "warm";
+      row.state = RunnerState::warm;
       row.capacity = capacity;
       row.incarnation = 7;
       row.seal_key = "key";
--- a/packages/data-plane/tests/data_daemon_test.cpp
+++ b/packages/data-plane/tests/data_daemon_test.cpp
@@ -13,11 +13,11 @@
 namespace {
 
 DataDaemon started(std::uint64_t random_seed) {
-  DataDaemon daemon(DaemonEntry{Address{"d"}, "http-d", "data", ZoneName{"a"}, RegionName{"north"}, 1},
+  DataDaemon daemon(DaemonEntry{Address{"d"}, "http-d", DaemonRole::data, ZoneName{"a"}, RegionName{"north"}, 1},
                     {Address{"seed"}}, random_seed);
   daemon.start(TimePoint{0});
   PingResponse response;
-  response.sender = DaemonEntry{Address{"e"}, "http-e", "edge", ZoneName{"a"}, RegionName{"north"}, 1};
+  response.sender = DaemonEntry{Address{"e"}, "http-e", DaemonRole::edge, ZoneName{"a"}, RegionName{"north"}, 1};
   for (const char* name : {"s1", "s2", "s3"})
     response.acceptors.push_back({StoreId{name}, Address{name}});
   daemon.on_message(Address{"e"}, response, TimePoint{10});
@@ -44,15 +44,15 @@
     row.pool.text = "models";
     row.zone.text = name[1] == '1' ? "a" : "b";
     row.region.text = "north";
-    row.status = "warm";
+    row.state = RunnerState::warm;
     row.capacity = 4;
     pool.rows.push_back({std::string("runner/") + name, {encode_runner_row(row)}});
   }
   daemon.on_message(Address{"e"}, pool, now);
 }
 
-std::string status(const DataDaemon& daemon, const std::string& runner) {
-  return daemon.view()->runners.at(RunnerName{runner}).status;
+RunnerState state_of(const DataDaemon& daemon, const std::string& runner) {
+  return daemon.view()->runners.at(RunnerName{runner}).state;
 }
 
 std::int64_t last_request_id(DataDaemon& daemon) {
@@ -91,11 +91,11 @@
 }
 
 DataDaemon with_two_homes() {
-  DataDaemon daemon(DaemonEntry{Address{"d"}, "http-d", "data", ZoneName{"a"}, RegionName{"north"}, 1},
+  DataDaemon daemon(DaemonEntry{Address{"d"}, "http-d", DaemonRole::data, ZoneName{"a"}, RegionName{"north"}, 1},
                     {Address{"seed"}}, 1);
   daemon.start(TimePoint{0});
   PingResponse response;
-  response.sender = DaemonEntry{Address{"e1"}, "http-e1", "edge", ZoneName{"a"}, RegionName{"north"}, 1};
+  response.sender = DaemonEntry{Address{"e1"}, "http-e1", DaemonRole::edge, ZoneName{"a"}, RegionName{"north"}, 1};
   for (const char* name : {"s1", "s2", "s3"})
     response.acceptors.push_back({StoreId{name}, Address{name}});
   daemon.on_message(Address{"e1"}, response, TimePoint{with_map_at});
@@ -224,20 +224,20 @@
 TEST(DataDaemon, AHoldTakesWorkAwayAheadOfTheMapAndLapsesByItself) {
   DataDaemon daemon = started(1);
   give_map(daemon, TimePoint{160});
-  EXPECT_EQ(status(daemon, "m1"), "warm");
+  EXPECT_EQ(state_of(daemon, "m1"), RunnerState::warm);
   daemon.on_message(Address{"e"}, DispatchBlock{"c1", RunnerName{"m1"}, {}, false, false}, TimePoint{190});
-  EXPECT_EQ(status(daemon, "m1"), "leaving");
-  EXPECT_EQ(status(daemon, "m2"), "warm");
+  EXPECT_EQ(state_of(daemon, "m1"), RunnerState::draining);
+  EXPECT_EQ(state_of(daemon, "m2"), RunnerState::warm);
   daemon.on_message(Address{"e"}, DispatchBlock{"c2", {}, ZoneName{"b"}, false, false}, TimePoint{200});
-  EXPECT_EQ(status(daemon, "m2"), "emptied");
+  EXPECT_EQ(state_of(daemon, "m2"), RunnerState::evacuated);
   daemon.on_message(Address{"e"}, DispatchBlock{"c2", {}, ZoneName{"b"}, true, false},
                     TimePoint{300});  // refused: lifted
-  EXPECT_EQ(status(daemon, "m2"), "warm");
+  EXPECT_EQ(state_of(daemon, "m2"), RunnerState::warm);
   daemon.on_message(Address{"e"}, DispatchBlock{"c1", RunnerName{"m1"}, {}, false, false}, TimePoint{1000});  // renewed
   daemon.on_timer(TimePoint{1000 + block_duration.value - 1});
-  EXPECT_EQ(status(daemon, "m1"), "leaving");
+  EXPECT_EQ(state_of(daemon, "m1"), RunnerState::draining);
   daemon.on_timer(TimePoint{1000 + block_duration.value});
-  EXPECT_EQ(status(daemon, "m1"), "warm");
+  EXPECT_EQ(state_of(daemon, "m1"), RunnerState::warm);
 }
 
 TEST(DataDaemon, AnAnswerToAFormerLifesAskGrantsNothing) {
@@ -265,7 +265,7 @@
       TimePoint now{ms};
       daemon.on_timer(now);
       PingResponse response;
-      response.sender = DaemonEntry{Address{"e3"}, "http-e3", "edge", ZoneName{"b"}, RegionName{"north"}, 1};
+      response.sender = DaemonEntry{Address{"e3"}, "http-e3", DaemonRole::edge, ZoneName{"b"}, RegionName{"north"}, 1};
       response.version = next_map;
       if (ms % 500 == 0)
         daemon.on_message(Address{"e3"}, response, now);
--- a/packages/data-plane/tests/routed_relay_test.cpp
+++ b/packages/data-plane/tests/routed_relay_test.cpp
@@ -254,7 +254,7 @@
       row.pool.text = "p";
       row.region.text = "here";
       row.zone.text = "z";
-      row.status = "warm";
+      row.state = RunnerState::warm;
       row.capacity = 8;
       view->runners[row.name] = row;
       view->pools[row.pool].push_back(row.name);
--- a/packages/data-plane/tests/support/relay_under_test.cpp
+++ b/packages/data-plane/tests/support/relay_under_test.cpp
@@ -53,7 +53,7 @@
     row.pool.text = "p";
     row.region.text = "here";
     row.zone.text = "z";
-    row.status = "warm";
+    row.state = RunnerState::warm;
     row.capacity = 8;
     view->runners[row.name] = row;
     view->pools[row.pool].push_back(row.name);
--- a/packages/fleet-simulator/include/emberdale/invariant_checker.hpp
+++ b/packages/fleet-simulator/include/emberdale/invariant_checker.hpp
@@ -86,7 +86,7 @@
   void settled(std::int64_t now, const FleetState& state);
   // Example: watch.holds(now, "a1-data", view->plan_versions, {{RunnerName{"m1"}, "leaving"}}, state)
   void holds(std::int64_t now, const std::string& daemon, const std::map<PlanName, std::int64_t>& plans,
-             const std::map<RunnerName, std::string>& statuses, const FleetState& state);
+             const std::map<RunnerName, RunnerState>& states, const FleetState& state);
 
   void broken(std::int64_t now, const std::string& rule, const std::string& detail);
   const std::vector<InvariantViolation>& breaks() const { return breaks_; }
--- a/packages/fleet-simulator/src/fleet_simulation.cpp
+++ b/packages/fleet-simulator/src/fleet_simulation.cpp
@@ -137,8 +137,8 @@
   if (is_mark_ignored) {
     auto misread = std::make_shared<RoutingView>(*view);
     for (auto& [name, row] : misread->runners)
-      if (row.status == "leaving" || row.status == "emptied")
-        row.status = "warm";
+      if (row.state == RunnerState::draining || row.state == RunnerState::evacuated)
+        row.state = RunnerState::warm;
     view = misread;
   }
   target.dispatcher->see(view, clock(target));
@@ -161,7 +161,7 @@
       watch_.broken(now_, "disk", made.name + ": " + restored.reason);
   }
   ControlDaemonSettings settings;
-  settings.self = DaemonEntry{made.address,        "http-" + made.name,     made.role,
+  settings.self = DaemonEntry{made.address,        "http-" + made.name,     *parse_daemon_role(made.role),
                               ZoneName{made.zone}, RegionName{made.region}, made.starts};
   settings.seeds = seeds_;
   settings.random_seed = seed_ * 1000003 + stable_hash(made.name) + static_cast<std::uint64_t>(made.starts);
@@ -185,7 +185,8 @@
   made.is_writing = false;
   watch_.restarted(name);
   if (made.role == "data") {
-    DaemonEntry self{made.address, "http-" + name, "data", ZoneName{made.zone}, RegionName{made.region}, made.starts};
+    DaemonEntry self{made.address,        "http-" + name,          DaemonRole::data,
+                     ZoneName{made.zone}, RegionName{made.region}, made.starts};
     made.data =
         std::make_unique<DataDaemon>(self, seeds_, seed_ + stable_hash(name) + static_cast<std::uint64_t>(made.starts));
     DispatcherSettings settings;
@@ -444,8 +445,8 @@
          status.capacity = probed.capacity;
          status.load = probed.running;
          status.allowance = probed.allowance;
-         trace(TraceEvent::probe_answered, awake.name, runner, status.is_reachable, status.is_warming_up, status.incarnation,
-               status.load);
+         trace(TraceEvent::probe_answered, awake.name, runner, status.is_reachable, status.is_warming_up,
+               status.incarnation, status.load);
          awake.control->on_probe(status, clock(awake));
          flush(awake);
        });
--- a/packages/fleet-simulator/src/hollow_daemons.cpp
+++ b/packages/fleet-simulator/src/hollow_daemons.cpp
@@ -46,7 +46,7 @@
         context_(context),
         self_(self) {
     std::uint64_t random = stable_hash(self.address.text) ^ static_cast<std::uint64_t>(self.incarnation);
-    if (self.role == "data") {
+    if (self.role == DaemonRole::data) {
       data_ = std::make_unique<DataDaemon>(self, seeds, random);
     } else {
       ControlDaemonSettings settings;
@@ -223,9 +223,9 @@
   for (int i = 0; i < edges + gateways; ++i) {
     bool is_edge = i < edges;
     std::string zone(1, static_cast<char>('a' + i % 3));
-    DaemonEntry self{
-        Address{places[static_cast<std::size_t>(i)]}, "127.0.0.1:1",     is_edge ? "edge" : "data", ZoneName{zone},
-        RegionName{zone == "c" ? "south" : "north"},  steady_now().value};
+    DaemonEntry self{Address{places[static_cast<std::size_t>(i)]},  "127.0.0.1:1",
+                     is_edge ? DaemonRole::edge : DaemonRole::data, ZoneName{zone},
+                     RegionName{zone == "c" ? "south" : "north"},   steady_now().value};
     daemons.push_back(std::make_unique<HollowDaemon>(context, self, at));
     auto started = daemons.back()->start();
     if (!started) {
--- a/packages/fleet-simulator/src/invariant_checker.cpp
+++ b/packages/fleet-simulator/src/invariant_checker.cpp
@@ -259,7 +259,7 @@
 }
 
 void InvariantChecker::holds(std::int64_t now, const std::string& daemon, const std::map<PlanName, std::int64_t>& plans,
-                             const std::map<RunnerName, std::string>& statuses, const FleetState& state) {
+                             const std::map<RunnerName, RunnerState>& states, const FleetState& state) {
   std::map<PlanName, std::int64_t> wanted;
   for (const auto& resource : state.resources)
     if (resource.kind == plans_kind)
@@ -274,9 +274,10 @@
       emptied.insert(order.zone);
   for (const auto& runner : configuration.runners) {
     bool is_barred = runner.is_leaving || emptied.count(runner.zone) != 0;
-    auto held = statuses.find(runner.name);
-    bool has_block = held != statuses.end() && (held->second == "leaving" || held->second == "emptied");
-    if (held == statuses.end() || is_barred != has_block)
+    auto held = states.find(runner.name);
+    bool has_block =
+        held != states.end() && (held->second == RunnerState::draining || held->second == RunnerState::evacuated);
+    if (held == states.end() || is_barred != has_block)
       broken(now, "a data daemon holds another mark than the register", daemon + " on " + runner.name.text);
   }
 }
--- a/packages/fleet-simulator/src/scale_fleet.cpp
+++ b/packages/fleet-simulator/src/scale_fleet.cpp
@@ -67,7 +67,7 @@
     if (daemon.role == "core")
       state.acceptors.push_back({daemon.store, daemon.address});
     if (daemon.role == "edge" && shape_.is_enrolled)
-      state.roster.push_back({daemon.address, "http-" + daemon.name, "edge", daemon.zone, daemon.region, 1});
+      state.roster.push_back({daemon.address, "http-" + daemon.name, DaemonRole::edge, daemon.zone, daemon.region, 1});
   }
   std::sort(state.roster.begin(), state.roster.end(),
             [](const auto& a, const auto& b) { return a.address < b.address; });
@@ -197,7 +197,8 @@
     return;
   daemon.is_up = daemon.has_power = true;
   ++daemon.incarnation;
-  DaemonEntry self{daemon.address, "http-" + daemon.name, daemon.role, daemon.zone, daemon.region, daemon.incarnation};
+  DaemonEntry self{daemon.address, "http-" + daemon.name, *parse_daemon_role(daemon.role),
+                   daemon.zone,    daemon.region,         daemon.incarnation};
   std::uint64_t random = seed_ * 1000003 + stable_hash(daemon.name) + static_cast<std::uint64_t>(daemon.incarnation);
   if (daemon.role == "data") {
     daemon.data = std::make_unique<DataDaemon>(self, seeds_, random);
--- a/packages/fleet-simulator/src/scale_measurements.cpp
+++ b/packages/fleet-simulator/src/scale_measurements.cpp
@@ -110,7 +110,7 @@
   changes_.push_back({now_, 0, 0});
   EditRequest request;
   request.change_id = "change-" + std::to_string(now_) + "-" + std::to_string(changes_asked);
-  request.action = "patch";
+  request.action = EditAction::patch;
   request.kind = plans_kind;
   request.name = "plan-" + std::to_string(changes_asked % shape_.plans);
   request.expected_version = -1;
--- a/packages/fleet-simulator/src/simulated_operators.cpp
+++ b/packages/fleet-simulator/src/simulated_operators.cpp
@@ -37,7 +37,7 @@
   }
   EditRequest request;
   request.change_id = "change-" + std::to_string(++last_change_);
-  request.action = act;
+  request.action = *parse_edit_action(act);
   request.kind = kind;
   request.name = name;
   request.expected_version = expected;
@@ -164,10 +164,10 @@
   for (const auto& name : names("data")) {
     if (!is_running(name) || data(name)->view()->config_revision > state->config_revision)
       continue;
-    std::map<RunnerName, std::string> statuses;
+    std::map<RunnerName, RunnerState> states;
     for (const auto& [runner, row] : data(name)->view()->runners)
-      statuses[runner] = row.status;
-    watch_.holds(now_, name, data(name)->view()->plan_versions, statuses, *state);
+      states[runner] = row.state;
+    watch_.holds(now_, name, data(name)->view()->plan_versions, states, *state);
   }
   return true;
 }
--- a/packages/fleet-simulator/tests/fleet_simulator_test.cpp
+++ b/packages/fleet-simulator/tests/fleet_simulator_test.cpp
@@ -362,7 +362,7 @@
   auto outcome = fleet->edit(at, "put", orders_kind, "b", R"({"state":"emptied"})", 9);  // a stale version: it loses
   fleet->run(Duration{1500});
   auto is_barred = [&] {
-    return fleet->data("a1-data")->view()->runners.at(RunnerName{"model-b1"}).status == "emptied";
+    return fleet->data("a1-data")->view()->runners.at(RunnerName{"model-b1"}).state == RunnerState::evacuated;
   };
   EXPECT_TRUE(is_barred());
   fleet->run(Duration{12000});
--- a/packages/fleet-simulator/tests/invariant_checker_test.cpp
+++ b/packages/fleet-simulator/tests/invariant_checker_test.cpp
@@ -215,7 +215,8 @@
      }},
     {"a data daemon holds another mark than the register",
      [](InvariantChecker& w, bool broken) {
-       w.holds(1, "d", {}, {{RunnerName{"m1"}, broken ? "warm" : "leaving"}}, state_of(9, 2, {leaving_runner}));
+       w.holds(1, "d", {}, {{RunnerName{"m1"}, broken ? RunnerState::warm : RunnerState::draining}},
+               state_of(9, 2, {leaving_runner}));
      }},
 };
 
--- a/packages/history-checker/src/control_call_recorder.cpp
+++ b/packages/history-checker/src/control_call_recorder.cpp
@@ -15,21 +15,21 @@
 void fill_configuration_change(Operation& operation, const EditRequest& request) {
   operation.base = request.expected_version;
   operation.change =
-      request.action + " " + std::to_string(request.expected_version) + " " + history_digest(request.body);
+      to_string(request.action) + " " + std::to_string(request.expected_version) + " " + history_digest(request.body);
   Json document = Json::parse(request.body, nullptr, false);
   if (!document.is_object())
     return;
   if (document.contains("revision") && document["revision"].is_number_integer())
     operation.revision = document["revision"].get<std::int64_t>();
-  if (request.action == "replace")
+  if (request.action == EditAction::replace)
     operation.value = history_digest(json_text(document));
 }
 
 void fill_resource_change(Operation& operation, const EditRequest& request) {
   operation.change = request.change_id;
-  if (request.action == "delete")
+  if (request.action == EditAction::remove)
     operation.kind = OperationKind::remove;
-  if (request.action == "put")
+  if (request.action == EditAction::put)
     operation.value = history_digest(request.body);
   if (request.expected_version >= 0)
     operation.base = request.expected_version;
--- a/packages/master-election/src/master_election.cpp
+++ b/packages/master-election/src/master_election.cpp
@@ -250,17 +250,17 @@
 
 bool MasterElection::on_message(const Address& from, const Message& message, TimePoint now) {
   if (const auto* ping = std::get_if<PingRequest>(&message)) {
-    if (ping->sender.role == "edge")
+    if (ping->sender.role == DaemonRole::edge)
       learn(from);
     left_.erase(from);
     return false;  // the daemon answers with all it knows
   }
   if (const auto* response = std::get_if<PingResponse>(&message)) {
-    if (response->sender.role != "edge")
+    if (response->sender.role != DaemonRole::edge)
       return false;
     learn(from);
     for (const auto& entry : response->known_daemons)
-      if (entry.role == "edge" && peers_.count(entry.address) == 0 && entry.address != self_.address) {
+      if (entry.role == DaemonRole::edge && peers_.count(entry.address) == 0 && entry.address != self_.address) {
         learn(entry.address);
         if (phase_ == Phase::pinging)
           out_.push_back({entry.address, PingRequest{ask_, self_, master_, version_}});
--- a/packages/master-election/tests/master_election_test.cpp
+++ b/packages/master-election/tests/master_election_test.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 DaemonEntry entry(const std::string& name) {
-  return DaemonEntry{Address{name}, name, "edge", ZoneName{"z"}, RegionName{"r"}, 1};
+  return DaemonEntry{Address{name}, name, DaemonRole::edge, ZoneName{"z"}, RegionName{"r"}, 1};
 }
 
 // One daemon "b" of a roster a..e, driven by hand.
--- a/packages/message-tables/include/emberdale/avro_record_codec.hpp
+++ b/packages/message-tables/include/emberdale/avro_record_codec.hpp
@@ -11,7 +11,9 @@
 #include <string>
 #include <vector>
 
+#include "absl/strings/escaping.h"
 #include "emberdale/bytes.hpp"
+#include "emberdale/record_enumerations.hpp"
 
 namespace emberdale::avro_records {
 
@@ -133,6 +135,29 @@
   }
 };
 
+// A field with a fixed set of texts; see record_enumerations.hpp.
+template <class Enumeration, std::optional<Enumeration> (*parse)(const std::string&)>
+struct EnumerationCodec {
+  static std::string schema(SchemaWriter&) { return "\"string\""; }
+  static void write(avro_value_t* slot, Enumeration value) { FieldCodec<std::string>::write(slot, to_string(value)); }
+  static void read(const avro_value_t* slot, Enumeration& value) {
+    constexpr std::size_t shown_bound = 32;
+    std::string text;
+    FieldCodec<std::string>::read(slot, text);
+    std::optional<Enumeration> known = parse(text);
+    if (!known)
+      throw std::runtime_error("the text '" + absl::CHexEscape(text.substr(0, shown_bound)) + "' is not known here");
+    value = *known;
+  }
+};
+
+template <>
+struct FieldCodec<DaemonRole> : EnumerationCodec<DaemonRole, parse_daemon_role> {};
+template <>
+struct FieldCodec<RunnerState> : EnumerationCodec<RunnerState, parse_runner_state> {};
+template <>
+struct FieldCodec<EditAction> : EnumerationCodec<EditAction, parse_edit_action> {};
+
 template <class Tag>
 struct FieldCodec<SmallText<Tag>> {
   static std::string schema(SchemaWriter&) { return "\"string\""; }
--- a/packages/message-tables/include/emberdale/control_messages.hpp
+++ b/packages/message-tables/include/emberdale/control_messages.hpp
@@ -360,9 +360,8 @@
 
   std::int64_t request_id = 0;
   std::string change_id{};
-  // "put", "delete" and the like; see edit_actions.hpp.
-  std::string action{};
-  // Of the resource.
+  EditAction action{};
+  // Of the resource; a text of ResourceKind, or another that the master refuses.
   std::string kind{};
   // Of the resource.
   std::string name{};
--- a/packages/message-tables/include/emberdale/fleet_state.hpp
+++ b/packages/message-tables/include/emberdale/fleet_state.hpp
@@ -9,6 +9,7 @@
 #include <vector>
 
 #include "emberdale/bytes.hpp"
+#include "emberdale/record_enumerations.hpp"
 #include "emberdale/small_types.hpp"
 
 namespace emberdale {
@@ -68,8 +69,7 @@
   Address address{};
   // Of its HTTP interface.
   std::string http_address{};
-  // "core", "edge" or "data".
-  std::string role{};
+  DaemonRole role{};
   ZoneName zone{};
   RegionName region{};
   // Grows with each start of the process.
@@ -105,7 +105,7 @@
 struct Resource {
   static constexpr const char* wire_name = "Resource";
 
-  // "serving-plans", "zone-orders", "runners" or the route table's kind.
+  // One of the texts of ResourceKind, or another that an operator chose.
   std::string kind{};
   std::string name{};
   // Of this resource; never used twice for one name.
--- a/packages/message-tables/include/emberdale/placement_records.hpp
+++ b/packages/message-tables/include/emberdale/placement_records.hpp
@@ -31,8 +31,7 @@
   PoolName pool{};
   ZoneName zone{};
   RegionName region{};
-  // "warm", "cold" (warming up), "leaving" (draining), "emptied" (its zone is evacuated) or "down".
-  std::string status{};
+  RunnerState state{};
   // Grows with each start of the runner.
   std::int64_t incarnation = 0;
   // Requests at once.
@@ -52,7 +51,7 @@
     visit("pool", self.pool);
     visit("zone", self.zone);
     visit("region", self.region);
-    visit("status", self.status);
+    visit("status", self.state);
     visit("incarnation", self.incarnation);
     visit("capacity", self.capacity);
     visit("load", self.load);
--- a/packages/message-tables/include/emberdale/register_messages.hpp
+++ b/packages/message-tables/include/emberdale/register_messages.hpp
@@ -105,8 +105,8 @@
   static constexpr const char* wire_name = "ReadAsk";
 
   std::int64_t request_id = 0;
-  // Of the reader; the value is not sent to "data".
-  std::string role{};
+  // Of the reader; the value is not sent to data daemons.
+  DaemonRole role{};
   // The reader holds the value of this ballot.
   Ballot known_ballot{};
   // Asks for the replica's last contacts as well.
--- a/packages/message-tables/tests/avro_codec_test.cpp
+++ b/packages/message-tables/tests/avro_codec_test.cpp
@@ -49,7 +49,7 @@
                          PoolName{"p"},
                          ZoneName{"z"},
                          RegionName{"r"},
-                         "cold",
+                         RunnerState::warming_up,
                          1,
                          8,
                          0,
--- a/packages/message-tables/tests/golden_bytes_test.cpp
+++ b/packages/message-tables/tests/golden_bytes_test.cpp
@@ -29,6 +29,9 @@
   void fill(std::int64_t& number) { number = next() * 1001; }
   // The only other value; that a bool keeps its place among the others is proven by the schema.
   void fill(bool& flag) { flag = true; }
+  void fill(DaemonRole& role) { role = DaemonRole::edge; }
+  void fill(RunnerState& state) { state = RunnerState::warming_up; }
+  void fill(EditAction& action) { action = EditAction::patch; }
   void fill(std::string& text) { text = "text-" + std::to_string(next()); }
   void fill(Bytes& bytes) { bytes.data = std::string("\0\xFF", 2) + "bytes-" + std::to_string(next()); }
   template <class Tag>
@@ -52,8 +55,7 @@
  private:
   // Fields that have a fixed set of texts get one of these, so that they may become enumerations.
   static bool fill_with_known_text(const std::string& wire_name, std::string& field) {
-    static const std::map<std::string, std::string> known_texts = {
-        {"role", "edge"}, {"status", "cold"}, {"kind", "zone-orders"}, {"act", "patch"}};
+    static const std::map<std::string, std::string> known_texts = {{"kind", "zone-orders"}};
     const auto known = known_texts.find(wire_name);
     if (known == known_texts.end())
       return false;
--- a/packages/message-tables/tests/versioned_records_test.cpp
+++ b/packages/message-tables/tests/versioned_records_test.cpp
@@ -111,7 +111,8 @@
   state.config_revision = 3;
   state.resources.push_back({"zone-orders", "z1", 2, 3, R"({"state":"emptied"})"});
   state.deleted_version = 1;
-  state.roster.push_back({Address{"10.0.0.1:7000"}, "10.0.0.1:8000", "core", ZoneName{"z1"}, RegionName{"r1"}, 77});
+  state.roster.push_back(
+      {Address{"10.0.0.1:7000"}, "10.0.0.1:8000", DaemonRole::core, ZoneName{"z1"}, RegionName{"r1"}, 77});
   state.term = 4;
   state.master = Address{"10.0.0.1:7000"};
   state.acknowledgement_wait_ms = 900;
--- a/packages/model-checker/src/fleet_walk.cpp
+++ b/packages/model-checker/src/fleet_walk.cpp
@@ -102,7 +102,7 @@
   edits.push_back(edit);
   EditRequest request;
   request.change_id = edit.change;
-  request.action = "put";
+  request.action = EditAction::put;
   request.expected_version = -1;
   request.kind = is_order ? orders_kind : runners_kind;
   request.name = is_order ? ordered_zone : "runner-" + std::to_string(index);
--- a/packages/model-checker/src/register_world.cpp
+++ b/packages/model-checker/src/register_world.cpp
@@ -379,7 +379,7 @@
       node.read_floor = 0;
       for (const auto& acknowledged : history_->acknowledged)
         node.read_floor = std::max(node.read_floor, acknowledged.version);
-      node.machine.poll(node.clock, "core", false);
+      node.machine.poll(node.clock, DaemonRole::core, false);
       after_proposer(action.subject);
       break;
     }
--- a/packages/placement-map/src/placement_map.cpp
+++ b/packages/placement-map/src/placement_map.cpp
@@ -68,14 +68,14 @@
       row.allowance = status->second.allowance;
     }
     if (runner.is_leaving)
-      row.status = "leaving";
+      row.state = RunnerState::draining;
     else if (emptied.count(runner.zone) != 0)
-      row.status = "emptied";
+      row.state = RunnerState::evacuated;
     else if (!is_known || !status->second.is_reachable)
-      row.status = "down";
+      row.state = RunnerState::down;
     else
-      row.status = status->second.is_warming_up ? "cold" : "warm";
-    if (row.status == "cold") {
+      row.state = status->second.is_warming_up ? RunnerState::warming_up : RunnerState::warm;
+    if (row.state == RunnerState::warming_up) {
       // Daemons of the runner's own region share what it bears; without one, those of the others.
       std::vector<std::string> near, all;
       for (const auto& gateway : gateways) {
@@ -89,11 +89,11 @@
     auto& region = regions[{runner.pool, runner.region}];
     region.pool = runner.pool;
     region.region = runner.region;
-    if (row.status == "warm")
+    if (row.state == RunnerState::warm)
       region.capacity += row.capacity;
-    if (row.status == "cold")
+    if (row.state == RunnerState::warming_up)
       region.capacity += row.allowance;
-    if (row.status == "warm" || row.status == "cold")
+    if (row.state == RunnerState::warm || row.state == RunnerState::warming_up)
       region.load += row.load;
     map.runners.push_back(std::move(row));
   }
--- a/packages/placement-map/src/warmup_shares.cpp
+++ b/packages/placement-map/src/warmup_shares.cpp
@@ -9,7 +9,7 @@
 void WarmupShares::begin(const PlacementMap& known, bool has_elder, TimePoint now) {
   runners_.clear();
   for (const auto& row : known.runners) {
-    if (row.status != "cold")
+    if (row.state != RunnerState::warming_up)
       continue;
     Runner& runner = runners_[row.name];
     runner.incarnation = row.incarnation;
--- a/packages/program-settings/include/emberdale/program_settings.hpp
+++ b/packages/program-settings/include/emberdale/program_settings.hpp
@@ -19,8 +19,8 @@
 };
 
 // Reads --settings (JSON) first and lays the flags over it. Every finding names its place.
-// Example: auto settings = read_settings(arguments, "edge", findings); if (!findings.empty()) stop();
-ProgramSettings read_settings(const std::map<std::string, docopt::value>& arguments, const std::string& role,
+// Example: auto settings = read_settings(arguments, DaemonRole::edge, findings); if (!findings.empty()) stop();
+ProgramSettings read_settings(const std::map<std::string, docopt::value>& arguments, DaemonRole role,
                               std::vector<std::string>& findings);
 
 // Milliseconds on a clock that no one sets and that runs on while the machine sleeps.
--- a/packages/program-settings/src/program_settings.cpp
+++ b/packages/program-settings/src/program_settings.cpp
@@ -35,7 +35,7 @@
 
 }  // namespace
 
-ProgramSettings read_settings(const std::map<std::string, docopt::value>& arguments, const std::string& role,
+ProgramSettings read_settings(const std::map<std::string, docopt::value>& arguments, DaemonRole role,
                               std::vector<std::string>& findings) {
   ProgramSettings settings;
   settings.self.role = role;
--- a/packages/routing-table/include/emberdale/routing_table.hpp
+++ b/packages/routing-table/include/emberdale/routing_table.hpp
@@ -12,7 +12,6 @@
 
 namespace emberdale {
 
-inline constexpr const char* routing_table_kind = "routing-table";  // kind of its resource in the register
 inline constexpr const char* routing_table_name = "current";
 
 struct PoolShare {
--- a/packages/serving-plans/include/emberdale/serving_plans.hpp
+++ b/packages/serving-plans/include/emberdale/serving_plans.hpp
@@ -77,10 +77,6 @@
   std::string seal_key;
 };
 
-inline constexpr const char* plans_kind = "serving-plans";
-inline constexpr const char* orders_kind = "zone-orders";
-inline constexpr const char* runners_kind = "runners";
-
 // Each reads one document and adds all its findings; gives a value only without errors.
 // Example: auto plan = read_plan("p", R"({"service":"s",...})", findings);
 // `is_lenient`: also with errors, as far as it can be read, so that the rules between documents
--- a/packages/serving-plans/src/configuration_edit.cpp
+++ b/packages/serving-plans/src/configuration_edit.cpp
@@ -25,7 +25,7 @@
 // Deletes, changes or adds the resource of the edit, `found` being where it stands or the end of the resources.
 void write_resource(EditResult& result, std::vector<Resource>::iterator found, const EditRequest& edit,
                     const std::string& body, std::int64_t revision) {
-  if (edit.action == "delete") {
+  if (edit.action == EditAction::remove) {
     result.deleted_version = std::max(result.deleted_version, found->version);
     result.resources.erase(found);
   } else if (found != result.resources.end()) {
@@ -113,10 +113,10 @@
   if (edit.expected_version >= 0 && edit.expected_version != old_version)
     return refuse(std::move(result), 412,
                   "the version is " + std::to_string(old_version) + ", not " + std::to_string(edit.expected_version));
-  if (edit.action != "put" && !is_there)
+  if (edit.action != EditAction::put && !is_there)
     return refuse(std::move(result), 404, edit.kind + "/" + edit.name + " does not exist");
   std::string body = edit.body;
-  if (edit.action == "patch") {
+  if (edit.action == EditAction::patch) {
     auto merged = merge_patch(found->body, edit.body);
     if (!merged) {
       result.findings.push_back({"error", edit.kind + "/" + edit.name, "", 1, 1, merged.reason});
@@ -126,7 +126,7 @@
   }
   write_resource(result, found, edit, body, revision);
   // First the document itself, so that a body that is no JSON is 400 and not 422.
-  if (edit.action != "delete") {
+  if (edit.action != EditAction::remove) {
     auto own = findings_if_no_json(edit, body);
     if (!own.empty()) {
       result.version = old_version;
--- a/packages/serving-plans/tests/serving_plans_test.cpp
+++ b/packages/serving-plans/tests/serving_plans_test.cpp
@@ -20,7 +20,7 @@
   state.resources = resources;
   return state;
 }
-EditRequest edit(const std::string& act, const std::string& kind, const std::string& name, const std::string& body,
+EditRequest edit(EditAction act, const std::string& kind, const std::string& name, const std::string& body,
                  std::int64_t expected = -1) {
   return EditRequest{1, "change", act, kind, name, expected, body};
 }
@@ -51,7 +51,7 @@
   EXPECT_FALSE(read_plan("p", "{\"service\":\n  oops}", findings));
   ASSERT_EQ(findings.size(), 1u);
   EXPECT_EQ(findings[0].line, 2);
-  EXPECT_EQ(apply_edit(state_with({}), edit("put", plans_kind, "p", "nonsense"), 1).code, 400);
+  EXPECT_EQ(apply_edit(state_with({}), edit(EditAction::put, plans_kind, "p", "nonsense"), 1).code, 400);
 }
 
 TEST(ServingPlans, SpillNeverContradictsHomeAndStreamsAreNeverRepeated) {
@@ -71,45 +71,50 @@
 
 TEST(ServingPlans, CrossChecksPoolsHomesZonesAndRivalClaims) {
   std::vector<Resource> base{{runners_kind, "r1", 1, 1, runner("127.0.0.1:1")}, {plans_kind, "p1", 1, 2, good_plan}};
-  auto rival = apply_edit(state_with(base), edit("put", plans_kind, "p2", good_plan), 3);
+  auto rival = apply_edit(state_with(base), edit(EditAction::put, plans_kind, "p2", good_plan), 3);
   EXPECT_EQ(rival.code, 422);
   EXPECT_TRUE(has(rival.findings, "/match"));
+  EXPECT_EQ(
+      apply_edit(state_with(base),
+                 edit(EditAction::put, plans_kind, "p2", R"({"service":"s","match":{"path":"/y"},"pool":"none"})"), 3)
+          .code,
+      422);
   EXPECT_EQ(apply_edit(state_with(base),
-                       edit("put", plans_kind, "p2", R"({"service":"s","match":{"path":"/y"},"pool":"none"})"), 3)
-                .code,
-            422);
-  EXPECT_EQ(apply_edit(state_with(base),
-                       edit("put", plans_kind, "p2",
+                       edit(EditAction::put, plans_kind, "p2",
                             R"({"service":"s","match":{"path":"/y"},"pool":"p","home":{"region":"mars"}})"),
                        3)
                 .code,
             422);
-  EXPECT_EQ(apply_edit(state_with(base), edit("put", runners_kind, "r2", runner("127.0.0.1:2", "a", "other")), 3).code,
-            422);
-  EXPECT_EQ(apply_edit(state_with(base), edit("put", runners_kind, "r2", runner("127.0.0.1:1")), 3).code, 422);
-  EXPECT_EQ(apply_edit(state_with(base), edit("delete", runners_kind, "r1", ""), 3).code, 422);  // a plan needs it
   EXPECT_EQ(
-      apply_edit(
-          state_with(base),
-          edit("put", plans_kind, "p2", R"({"service":"s","match":{"path":"/x","headers":{"k":"v"}},"pool":"p"})"), 3)
+      apply_edit(state_with(base), edit(EditAction::put, runners_kind, "r2", runner("127.0.0.1:2", "a", "other")), 3)
           .code,
       422);
+  EXPECT_EQ(apply_edit(state_with(base), edit(EditAction::put, runners_kind, "r2", runner("127.0.0.1:1")), 3).code,
+            422);
+  EXPECT_EQ(apply_edit(state_with(base), edit(EditAction::remove, runners_kind, "r1", ""), 3).code,
+            422);  // a plan needs it
+  EXPECT_EQ(apply_edit(state_with(base),
+                       edit(EditAction::put, plans_kind, "p2",
+                            R"({"service":"s","match":{"path":"/x","headers":{"k":"v"}},"pool":"p"})"),
+                       3)
+                .code,
+            422);
 }
 
 TEST(ServingPlans, AStaleVersionIsRefusedAndARefusalLeavesNoTrace) {
   std::vector<Resource> base{{runners_kind, "r1", 1, 1, runner("127.0.0.1:1")}, {plans_kind, "p1", 7, 2, good_plan}};
   FleetState state = state_with(base);
-  auto stale = apply_edit(state, edit("put", plans_kind, "p1", good_plan, 6), 3);
+  auto stale = apply_edit(state, edit(EditAction::put, plans_kind, "p1", good_plan, 6), 3);
   EXPECT_EQ(stale.code, 412);
   EXPECT_EQ(stale.version, 7);
-  EXPECT_EQ(apply_edit(state, edit("put", plans_kind, "p1", good_plan, 0), 3).code, 412);
-  auto wrong = apply_edit(state, edit("patch", plans_kind, "p1", R"({"pool":"none"})", 7), 3);
+  EXPECT_EQ(apply_edit(state, edit(EditAction::put, plans_kind, "p1", good_plan, 0), 3).code, 412);
+  auto wrong = apply_edit(state, edit(EditAction::patch, plans_kind, "p1", R"({"pool":"none"})", 7), 3);
   EXPECT_EQ(wrong.code, 422);
   EXPECT_EQ(wrong.version, 7);
-  auto good = apply_edit(state, edit("patch", plans_kind, "p1", R"({"horizon_ms":500,"service":"t"})", 7), 3);
+  auto good = apply_edit(state, edit(EditAction::patch, plans_kind, "p1", R"({"horizon_ms":500,"service":"t"})", 7), 3);
   EXPECT_EQ(good.code, 200);
   EXPECT_EQ(good.version, 8);
-  EXPECT_EQ(apply_edit(state, edit("patch", plans_kind, "p9", "{}"), 3).code, 404);
+  EXPECT_EQ(apply_edit(state, edit(EditAction::patch, plans_kind, "p9", "{}"), 3).code, 404);
 }
 
 TEST(ServingPlans, EmptyingWhatTheRestCanNotBearSaysSo) {
@@ -117,7 +122,7 @@
                              {runners_kind, "r2", 1, 1, runner("127.0.0.1:2", "a")},
                              {runners_kind, "r3", 1, 1, runner("127.0.0.1:3", "b")},
                              {plans_kind, "p1", 1, 2, good_plan}};
-  auto emptied = apply_edit(state_with(base), edit("put", orders_kind, "a", R"({"state":"emptied"})"), 3);
+  auto emptied = apply_edit(state_with(base), edit(EditAction::put, orders_kind, "a", R"({"state":"emptied"})"), 3);
   EXPECT_EQ(emptied.code, 201);  // taken, with a warning
   ASSERT_EQ(emptied.findings.size(), 1u);
   EXPECT_EQ(emptied.findings[0].severity, "warning");
@@ -137,7 +142,7 @@
 
 TEST(ServingPlans, ANameThatComesBackNeverHasAVersionItHadBefore) {
   FleetState state;
-  auto apply = [&](const std::string& act, const std::string& body, std::int64_t expected) {
+  auto apply = [&](EditAction act, const std::string& body, std::int64_t expected) {
     EditRequest request;
     request.action = act;
     request.kind = orders_kind;
@@ -151,13 +156,13 @@
     }
     return result;
   };
-  EXPECT_EQ(apply("put", R"({"state":"serving"})", 0).version, 1);
-  EXPECT_EQ(apply("put", R"({"state":"emptied"})", 1).version, 2);
-  EXPECT_EQ(apply("delete", "", 2).code, 200);
-  EXPECT_EQ(apply("put", R"({"state":"serving"})", 0).version, 3);
+  EXPECT_EQ(apply(EditAction::put, R"({"state":"serving"})", 0).version, 1);
+  EXPECT_EQ(apply(EditAction::put, R"({"state":"emptied"})", 1).version, 2);
+  EXPECT_EQ(apply(EditAction::remove, "", 2).code, 200);
+  EXPECT_EQ(apply(EditAction::put, R"({"state":"serving"})", 0).version, 3);
   // Who still holds version 1 or 2 loses, although the name is there again.
-  EXPECT_EQ(apply("put", R"({"state":"emptied"})", 1).code, 412);
-  EXPECT_EQ(apply("put", R"({"state":"emptied"})", 2).code, 412);
+  EXPECT_EQ(apply(EditAction::put, R"({"state":"emptied"})", 1).code, 412);
+  EXPECT_EQ(apply(EditAction::put, R"({"state":"emptied"})", 2).code, 412);
 }
 
 TEST(ServingPlans, NoDocumentFromOutsideBringsItDownAndEachRefusalHasAFinding) {
@@ -179,7 +184,7 @@
     RC_ASSERT(merged || !merged.reason.empty());
     FleetState state;
     EditRequest request;
-    request.action = "put";
+    request.action = EditAction::put;
     request.kind = plans_kind;
     request.name = spoiled("a-name", seed);
     request.expected_version = -1;
@@ -202,7 +207,7 @@
     EXPECT_FALSE(merged);
     EXPECT_EQ(merged.reason.rfind("not JSON", 0), 0u) << merged.reason;
   }
-  EXPECT_EQ(apply_edit(state_with({}), edit("put", plans_kind, "p", body), 1).code, 400);
+  EXPECT_EQ(apply_edit(state_with({}), edit(EditAction::put, plans_kind, "p", body), 1).code, 400);
   EXPECT_TRUE(read_configuration({Resource{plans_kind, "p", 1, 1, body}}, plan).plans.empty());
 }
 
