--- a/packages/control-plane/src/control_membership.cpp
+++ b/packages/control-plane/src/control_membership.cpp
@@ -129,7 +129,7 @@
       [this, now](const ChangeEnd& end) {
         is_claiming_ = false;
         bool is_won = end.kind == ChangeEnd::Kind::committed;
-        election_.claim_ended(is_won, is_won ? end.state.term : 0, now);
+        election_.on_claim_result(is_won, is_won ? end.state.term : 0, now);
       },
       now, Duration{2500});
 }
@@ -138,7 +138,7 @@
   lease_.begin(now);
   edits_.begin();
   note(now, "master", "term " + std::to_string(election_.term()));
-  warmup_shares_.begin(map_, election_.term() > 1, now);
+  warmup_shares_.begin_term(map_, election_.term() > 1, now);
   in_force_.clear();
   follower_versions_.clear();
   follower_routing_tables_.clear();
@@ -151,7 +151,7 @@
 void ControlDaemon::on_refused(const Address& peer, TimePoint now) {
   reconciler_.on_refused(peer);
   if (is_edge())
-    election_.refused(peer, now);
+    election_.on_connection_refused(peer, now);
   auto known = known_.find(peer);
   if (known != known_.end())
     known->second.heard = TimePoint{now.value - alive_timeout.value - 1};
