--- a/packages/call-matching/tests/call_dispatcher_digest_test.cpp
+++ b/packages/call-matching/tests/call_dispatcher_digest_test.cpp
@@ -140,7 +140,7 @@
       RegionRow& region = view->regions[{row.pool, row.region}];
       region.pool = row.pool;
       region.region = row.region;
-      region.capacity += row.status == "warm" ? row.capacity : 0;
+      region.capacity += row.state == RunnerState::warm ? row.capacity : 0;
     }
     dispatcher_.see(view, now_);
   }
@@ -177,9 +177,11 @@
         entry = runners_.erase(entry);
         continue;
       }
-      static const std::vector<std::string> statuses{"warm", "warm", "warm", "cold", "leaving", "emptied", "down"};
+      static const std::vector<RunnerState> states{
+          RunnerState::warm,     RunnerState::warm,      RunnerState::warm, RunnerState::warming_up,
+          RunnerState::draining, RunnerState::evacuated, RunnerState::down};
       if (drawn < 8)
-        entry->second.status = statuses[static_cast<std::size_t>(random_.below(7))];
+        entry->second.state = states[static_cast<std::size_t>(random_.below(7))];
       if (drawn == 8)
         ++entry->second.incarnation;
       ++entry;
@@ -193,7 +195,7 @@
     row.pool.text = pick(pool_names);
     row.region.text = pick(region_names);
     row.zone.text = row.region.text + "-1";
-    row.status = random_.chance(0.75) ? "warm" : "cold";
+    row.state = random_.chance(0.75) ? RunnerState::warm : RunnerState::warming_up;
     row.capacity = 1 + random_.below(6);
     row.incarnation = 1 + random_.below(2);
     row.seal_key = "key-" + row.name.text;
--- a/packages/call-routing/tests/route_dispatcher_digest_test.cpp
+++ b/packages/call-routing/tests/route_dispatcher_digest_test.cpp
@@ -177,9 +177,11 @@
         entry = runners_.erase(entry);
         continue;
       }
-      static const std::vector<std::string> statuses{"warm", "warm", "warm", "cold", "leaving", "emptied", "down"};
+      static const std::vector<RunnerState> states{
+          RunnerState::warm,     RunnerState::warm,      RunnerState::warm, RunnerState::warming_up,
+          RunnerState::draining, RunnerState::evacuated, RunnerState::down};
       if (drawn < 8)
-        entry->second.status = statuses[static_cast<std::size_t>(random_.below(7))];
+        entry->second.state = states[static_cast<std::size_t>(random_.below(7))];
       ++entry;
     }
   }
@@ -191,7 +193,7 @@
     row.pool.text = pick(pool_names);
     row.region.text = pick(region_names);
     row.zone.text = row.region.text + "-" + std::to_string(1 + random_.below(2));
-    row.status = random_.chance(0.75) ? "warm" : "cold";
+    row.state = random_.chance(0.75) ? RunnerState::warm : RunnerState::warming_up;
     row.capacity = random_.chance(0.1) ? 0 : 1 + random_.below(10);
     row.warmup_grants = {{Address{"d1"}, 1 + random_.below(3)}, {Address{"d0"}, random_.below(4)}};
     runners_[row.name] = row;
--- a/packages/master-election/tests/master_election_test.cpp
+++ b/packages/master-election/tests/master_election_test.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 DaemonEntry entry(const std::string& name) {
-  return DaemonEntry{Address{name}, name, "edge", ZoneName{"z"}, RegionName{"r"}, 1};
+  return DaemonEntry{Address{name}, name, DaemonRole::edge, ZoneName{"z"}, RegionName{"r"}, 1};
 }
 
 // An election at one daemon, "b" unless said otherwise, of a roster "a" to "e".
--- a/packages/program-settings/src/program_settings.cpp
+++ b/packages/program-settings/src/program_settings.cpp
@@ -212,7 +212,7 @@
 
 }  // namespace
 
-ProgramSettings read_settings(const Arguments& arguments, const std::string& role, std::vector<std::string>& findings) {
+ProgramSettings read_settings(const Arguments& arguments, DaemonRole role, std::vector<std::string>& findings) {
   SettingsReader reader(arguments, findings);
   ProgramSettings settings;
   settings.self.role = role;
