--- a/packages/control-plane/tests/catch_up_test.cpp
+++ b/packages/control-plane/tests/catch_up_test.cpp
@@ -33,11 +33,11 @@
 }
 
 // Changes the table at one machine, and waits until that is acknowledged.
-bool change_table(MachineFleet& fleet, const std::string& where, const std::string& act, std::int64_t base,
+bool change_table(MachineFleet& fleet, const std::string& where, EditAction action, std::int64_t base,
                   const std::string& body) {
   std::int64_t code = 0;
   fleet.call_daemon(where, [&](ControlDaemon& daemon, TimePoint now) {
-    EditRequest request{0, "table-" + std::to_string(base), act, routing_table_kind, routing_table_name, base, body};
+    EditRequest request{0, "table-" + std::to_string(base), action, routing_table_kind, routing_table_name, base, body};
     daemon.edit(
         request, [&](const EditResponse& response) { code = response.code; }, now);
   });
@@ -64,7 +64,8 @@
   *step = [&fleet, returning, observed, step] {
     fleet.call_daemon(returning, [&](ControlDaemon& daemon, TimePoint now) {
       Subscribe subscribe;
-      subscribe.sender = DaemonEntry{Address{"10.0.1.1:7001"}, "http-d", "data", ZoneName{"a"}, RegionName{"north"}, 1};
+      subscribe.sender =
+          DaemonEntry{Address{"10.0.1.1:7001"}, "http-d", DaemonRole::data, ZoneName{"a"}, RegionName{"north"}, 1};
       subscribe.topics.push_back({plans_topic, MapVersion{}});
       subscribe.sent_at = 1;
       daemon.on_message(subscribe.sender.address, subscribe, now);
@@ -94,13 +95,14 @@
     auto names = bring_up(fleet, 3);
     std::string master = fleet.master();
     std::string returning = master == names[0] ? names[1] : names[0];
-    ASSERT_TRUE(change_table(fleet, master, "replace", 0, first_table()));
+    ASSERT_TRUE(change_table(fleet, master, EditAction::replace, 0, first_table()));
     fleet.run(1000);
     std::size_t disk_before = fleet.at(returning).files->bytes();
     fleet.power_cut(returning);
     fleet.run(3000);
     for (int i = 0; i < speed.changes; ++i)
-      ASSERT_TRUE(change_table(fleet, fleet.master(), "amend", i + 1, amendment(i + 2))) << i << fleet.trace();
+      ASSERT_TRUE(change_table(fleet, fleet.master(), EditAction::amend, i + 1, amendment(i + 2)))
+          << i << fleet.trace();
     master = fleet.master();
     std::size_t value = value_size(fleet, master);
     EXPECT_GT(value, 300000u);
@@ -160,11 +162,12 @@
     auto names = bring_up(fleet, 3);
     std::string master = fleet.master();
     std::string returning = master == names[0] ? names[1] : names[0];
-    ASSERT_TRUE(change_table(fleet, master, "replace", 0, first_table()));
+    ASSERT_TRUE(change_table(fleet, master, EditAction::replace, 0, first_table()));
     fleet.power_cut(returning);
     fleet.run(3000);
     for (int i = 0; i < 20; ++i)
-      ASSERT_TRUE(change_table(fleet, fleet.master(), "amend", i + 1, amendment(i + 2))) << i << fleet.trace();
+      ASSERT_TRUE(change_table(fleet, fleet.master(), EditAction::amend, i + 1, amendment(i + 2)))
+          << i << fleet.trace();
     master = fleet.master();
     auto observed = std::make_shared<Watch>();
     observed->newest_state = fleet.state(master).version;
@@ -210,13 +213,13 @@
   auto names = bring_up(fleet, 6);
   std::string master = fleet.master();
   std::string slow = master == names[0] ? names[1] : names[0];
-  ASSERT_TRUE(change_table(fleet, master, "replace", 0, first_table()));
+  ASSERT_TRUE(change_table(fleet, master, EditAction::replace, 0, first_table()));
   fleet.at(slow).disk_time_factor = 10000;
   std::size_t most = 0;
   std::int64_t end = fleet.now() + 20000;
   int done = 0;
   while (fleet.now() < end) {
-    ASSERT_TRUE(change_table(fleet, fleet.master(), "amend", done + 1, amendment(done + 2))) << fleet.trace();
+    ASSERT_TRUE(change_table(fleet, fleet.master(), EditAction::amend, done + 1, amendment(done + 2))) << fleet.trace();
     ++done;
     fleet.run(50);
     most = std::max(most, fleet.at(slow).pending_writes.size() + fleet.at(slow).control->acceptor()->unsynced());
--- a/packages/control-plane/tests/edit_batch_test.cpp
+++ b/packages/control-plane/tests/edit_batch_test.cpp
@@ -10,9 +10,9 @@
 namespace emberdale {
 namespace {
 
-EditRequest edit_request(const std::string& change, const std::string& act, const std::string& kind,
-                         const std::string& name, std::int64_t expected, const std::string& body) {
-  return EditRequest{1, change, act, kind, name, expected, body};
+EditRequest edit_request(const std::string& change, EditAction action, const std::string& kind, const std::string& name,
+                         std::int64_t expected, const std::string& body) {
+  return EditRequest{1, change, action, kind, name, expected, body};
 }
 
 std::string table(std::int64_t revision, int routes) {
@@ -29,15 +29,15 @@
   std::int64_t expected = random.below(5) - 1;
   switch (random.below(5)) {
     case 0:
-      return edit_request(change, "put", orders_kind, name, expected, R"({"state":"emptied"})");
+      return edit_request(change, EditAction::put, orders_kind, name, expected, R"({"state":"emptied"})");
     case 1:
-      return edit_request(change, "put", orders_kind, name, expected, R"({"state":"serving"})");
+      return edit_request(change, EditAction::put, orders_kind, name, expected, R"({"state":"serving"})");
     case 2:
-      return edit_request(change, "delete", orders_kind, name, expected, "");
+      return edit_request(change, EditAction::remove, orders_kind, name, expected, "");
     case 3:
-      return edit_request(change, "put", orders_kind, name, expected, "not JSON");
+      return edit_request(change, EditAction::put, orders_kind, name, expected, "not JSON");
     default:
-      return edit_request(change, "replace", routing_table_kind, routing_table_name,
+      return edit_request(change, EditAction::replace, routing_table_kind, routing_table_name,
                           std::max<std::int64_t>(0, expected), table(random.below(6), 1));
   }
 }
@@ -79,11 +79,12 @@
 
 TEST(EditBatch, AFormerLeaderAppliesNothingAndReportsWhatWasDone) {
   FleetState state;
-  EditRequest done = edit_request("change-1", "put", orders_kind, "a", -1, R"({"state":"emptied"})");
+  EditRequest done = edit_request("change-1", EditAction::put, orders_kind, "a", -1, R"({"state":"emptied"})");
   EditBatch first{{{done, {}}}};
   EXPECT_TRUE(first.work_out(state, true));
   std::string before = encode_state(state);
-  EditBatch late{{{done, {}}, {edit_request("change-2", "put", orders_kind, "b", -1, R"({"state":"emptied"})"), {}}}};
+  EditBatch late{
+      {{done, {}}, {edit_request("change-2", EditAction::put, orders_kind, "b", -1, R"({"state":"emptied"})"), {}}}};
   EXPECT_FALSE(late.work_out(state, false));
   EXPECT_EQ(late.edits[0].result.code, 200);
   EXPECT_EQ(late.edits[1].result.code, 503);
@@ -93,9 +94,10 @@
 // Two operators build on one version of the table: one of them wins, and a third that sends the same gets its result.
 TEST(EditBatch, OfTwoTablesOfOneExpectedVersionOneIsApplied) {
   FleetState state;
-  EditBatch batch{{{edit_request("change-1", "replace", routing_table_kind, routing_table_name, 0, table(7, 1)), {}},
-                   {edit_request("change-2", "replace", routing_table_kind, routing_table_name, 0, table(8, 2)), {}},
-                   {edit_request("change-3", "replace", routing_table_kind, routing_table_name, 0, table(7, 1)), {}}}};
+  EditBatch batch{
+      {{edit_request("change-1", EditAction::replace, routing_table_kind, routing_table_name, 0, table(7, 1)), {}},
+       {edit_request("change-2", EditAction::replace, routing_table_kind, routing_table_name, 0, table(8, 2)), {}},
+       {edit_request("change-3", EditAction::replace, routing_table_kind, routing_table_name, 0, table(7, 1)), {}}}};
   EXPECT_TRUE(batch.work_out(state, true));
   EXPECT_EQ(batch.edits[0].result.code, 200);
   EXPECT_EQ(batch.edits[1].result.code, 412);
@@ -106,19 +108,19 @@
 TEST(EditBatch, EnsuringWhatIsAlreadySoNeedsNoWrite) {
   const std::string emptied = R"({"state":"emptied"})", serving = R"({"state":"serving"})";
   FleetState state;
-  EditBatch begin{{{edit_request("change-1", ensure_act, orders_kind, "a", -1, emptied), {}}}};
+  EditBatch begin{{{edit_request("change-1", EditAction::ensure, orders_kind, "a", -1, emptied), {}}}};
   EXPECT_TRUE(begin.work_out(state, true));
   EXPECT_EQ(begin.edits[0].result.code, 201);
-  EditBatch again{{{edit_request("change-2", ensure_act, orders_kind, "a", -1, emptied), {}}}};
+  EditBatch again{{{edit_request("change-2", EditAction::ensure, orders_kind, "a", -1, emptied), {}}}};
   EXPECT_FALSE(again.work_out(state, true));
   EXPECT_EQ(again.edits[0].result.code, 200);
   EXPECT_EQ(again.edits[0].result.version, begin.edits[0].result.version);
-  EditBatch finish{{{edit_request("change-3", ensure_act, orders_kind, "a", -1, serving), {}}}};
+  EditBatch finish{{{edit_request("change-3", EditAction::ensure, orders_kind, "a", -1, serving), {}}}};
   EXPECT_TRUE(finish.work_out(state, true));
-  EditBatch put{{{edit_request("change-4", "put", orders_kind, "a", -1, serving), {}}}};
+  EditBatch put{{{edit_request("change-4", EditAction::put, orders_kind, "a", -1, serving), {}}}};
   EXPECT_TRUE(put.work_out(state, true));  // who puts gets a version of its own
   EXPECT_GT(put.edits[0].result.version, finish.edits[0].result.version);
-  EditBatch broken{{{edit_request("change-5", ensure_act, orders_kind, "a", -1, "not JSON"), {}}}};
+  EditBatch broken{{{edit_request("change-5", EditAction::ensure, orders_kind, "a", -1, "not JSON"), {}}}};
   EXPECT_FALSE(broken.work_out(state, true));
   EXPECT_GE(broken.edits[0].result.code, 400);
 }
@@ -181,8 +183,8 @@
         fleet.delay = 28;
         fleet.sync_ms = sync_ms;
         fleet.run(2000);
-        auto table_change = fleet.request(
-            fleet.master(), edit_request("", "replace", routing_table_kind, routing_table_name, 0, table(1, routes)));
+        auto table_change = fleet.request(fleet.master(), edit_request("", EditAction::replace, routing_table_kind,
+                                                                       routing_table_name, 0, table(1, routes)));
         ASSERT_TRUE(fleet.run_until([&] { return table_change->is_over; }, 8000)) << fleet.trace();
         EXPECT_TRUE(table_change->is_acknowledged());
         fleet.run(1000);
--- a/packages/control-plane/tests/stale_daemon_test.cpp
+++ b/packages/control-plane/tests/stale_daemon_test.cpp
@@ -104,7 +104,8 @@
 
 Subscribe subscribe_from_blank(std::int64_t sent_at) {
   Subscribe subscribe;
-  subscribe.sender = DaemonEntry{Address{"10.0.1.1:7001"}, "http-d", "data", ZoneName{"a"}, RegionName{"north"}, 1};
+  subscribe.sender =
+      DaemonEntry{Address{"10.0.1.1:7001"}, "http-d", DaemonRole::data, ZoneName{"a"}, RegionName{"north"}, 1};
   subscribe.topics.push_back({plans_topic, MapVersion{}});
   subscribe.sent_at = sent_at;
   return subscribe;
@@ -270,7 +271,8 @@
                  std::function<bool()> is_alive) {
     if (is_alive() && fleet_.at(owner).is_up && !fleet_.at(owner).is_frozen) {
       Subscribe subscribe;
-      subscribe.sender = DaemonEntry{address_of(name), "http-" + name, "data", ZoneName{zone}, RegionName{"north"}, 1};
+      subscribe.sender =
+          DaemonEntry{address_of(name), "http-" + name, DaemonRole::data, ZoneName{zone}, RegionName{"north"}, 1};
       subscribe.topics.push_back({plans_topic, MapVersion{1, 1}});
       subscribe.version = MapVersion{1, 1};
       subscribe.sent_at = fleet_.now() + 1;
--- a/packages/control-plane/tests/support/machine_fleet.cpp
+++ b/packages/control-plane/tests/support/machine_fleet.cpp
@@ -49,8 +49,8 @@
 
 ControlDaemonSettings MachineFleet::settings_of(const Machine& machine, bool bootstraps_itself) const {
   ControlDaemonSettings settings;
-  settings.self =
-      DaemonEntry{machine.address, "http-" + machine.name, "edge", machine.zone, RegionName{"north"}, machine.starts};
+  settings.self = DaemonEntry{machine.address, "http-" + machine.name, DaemonRole::edge,
+                              machine.zone,    RegionName{"north"},    machine.starts};
   settings.seeds = machine.seeds.empty() ? seeds_ : machine.seeds;
   settings.random_seed = seed_ * 1000003 + stable_hash(machine.name) + static_cast<std::uint64_t>(machine.starts);
   settings.bootstraps_itself = bootstraps_itself;
--- a/packages/control-plane/tests/support/machine_fleet_edits.cpp
+++ b/packages/control-plane/tests/support/machine_fleet_edits.cpp
@@ -12,7 +12,7 @@
 constexpr int max_reads = 5;
 constexpr std::int64_t read_timeout_ms = 2500;
 
-EditRequest edit_request_of(const std::string& action, const std::string& kind, const std::string& name,
+EditRequest edit_request_of(EditAction action, const std::string& kind, const std::string& name,
                             const std::string& body) {
   EditRequest edit_request;
   edit_request.action = action;
@@ -57,19 +57,19 @@
 std::shared_ptr<EditOutcome> MachineFleet::edit(const std::string& where) {
   std::string body = R"({"address":"127.0.0.1:)" + std::to_string(20001 + last_edit_) +
                      R"(","pool":"models","zone":"a","region":"north","seal_key":"k"})";
-  return request(where, edit_request_of("put", "runners", "runner-" + std::to_string(last_edit_ + 1), body));
+  return request(where, edit_request_of(EditAction::put, "runners", "runner-" + std::to_string(last_edit_ + 1), body));
 }
 
 std::shared_ptr<EditOutcome> MachineFleet::set_zone_state(const std::string& where, const std::string& zone,
                                                           bool is_evacuated) {
   const char* body = is_evacuated ? R"({"state":"emptied"})" : R"({"state":"serving"})";
-  return request(where, edit_request_of(ensure_act, "zone-orders", zone, body));
+  return request(where, edit_request_of(EditAction::ensure, "zone-orders", zone, body));
 }
 
 std::shared_ptr<EditOutcome> MachineFleet::set_draining(const std::string& where, const std::string& runner,
                                                         bool is_draining) {
   const char* body = is_draining ? R"({"leaving":true})" : R"({"leaving":false})";
-  return request(where, edit_request_of("patch", "runners", runner, body));
+  return request(where, edit_request_of(EditAction::patch, "runners", runner, body));
 }
 
 bool MachineFleet::edit_until_done(std::int64_t duration_ms, const std::string& where) {
--- a/packages/control-plane/tests/support/operator_scenario.cpp
+++ b/packages/control-plane/tests/support/operator_scenario.cpp
@@ -75,7 +75,7 @@
   edit_request.kind = routing_table_kind;
   edit_request.name = routing_table_name;
   edit_request.expected_version = known_revision;
-  edit_request.action = is_amendment ? "amend" : "replace";
+  edit_request.action = is_amendment ? EditAction::amend : EditAction::replace;
   edit_request.body = is_amendment
                           ? R"({"revision":)" + revision + R"(,"upsert":{"routes":[)" + route + "]}}"
                           : R"({"revision":)" + revision + R"(,"routes":[)" + route + R"(],"pools":[{"name":"m"}]})";
@@ -87,7 +87,7 @@
   EditRequest edit_request;
   edit_request.kind = orders_kind;
   edit_request.name = random_.chance(0.5) ? "a" : "b";
-  edit_request.action = "put";
+  edit_request.action = EditAction::put;
   edit_request.expected_version = -1;
   std::string state = random_.chance(0.5) ? "emptied" : "serving";
   edit_request.body = R"({"state":")" + state + R"(","note":")" + std::to_string(++last_text_) + R"("})";
--- a/packages/master-election/src/master_election.cpp
+++ b/packages/master-election/src/master_election.cpp
@@ -312,14 +312,14 @@
 }
 
 void MasterElection::handle(const Address& from, const PingRequest& request, TimePoint) {
-  if (request.sender.role == "edge")
+  if (request.sender.role == DaemonRole::edge)
     add_peer(from);
   departed_.erase(from);
 }
 
 void MasterElection::add_named_peers(const std::vector<DaemonEntry>& named) {
   for (const auto& entry : named) {
-    if (entry.role != "edge" || entry.address == self_.address || peers_.count(entry.address) != 0)
+    if (entry.role != DaemonRole::edge || entry.address == self_.address || peers_.count(entry.address) != 0)
       continue;
     add_peer(entry.address);
     if (phase_ == Phase::pinging)
@@ -329,7 +329,7 @@
 
 // docs/election.md, "Responses kept fresh": peers are pinged again within a round, and the newest response counts.
 void MasterElection::handle(const Address& from, const PingResponse& response, TimePoint now) {
-  if (response.sender.role != "edge")
+  if (response.sender.role != DaemonRole::edge)
     return;
   add_peer(from);
   add_named_peers(response.known_daemons);
--- a/packages/program-settings/include/emberdale/program_settings.hpp
+++ b/packages/program-settings/include/emberdale/program_settings.hpp
@@ -21,8 +21,8 @@
 
 // Reads the file that --settings names, and the flags, which take precedence. All that is wrong is added to `findings`,
 // one line each, with the flag or the place in the file; the settings are only of use if there is none.
-// `role` is that of the daemon. Example: auto settings = read_settings(arguments, "edge", findings);
-ProgramSettings read_settings(const std::map<std::string, docopt::value>& arguments, const std::string& role,
+// `role` is that of the daemon. Example: auto settings = read_settings(arguments, DaemonRole::edge, findings);
+ProgramSettings read_settings(const std::map<std::string, docopt::value>& arguments, DaemonRole role,
                               std::vector<std::string>& findings);
 
 }  // namespace emberdale
--- a/packages/program-settings/tests/program_settings_test.cpp
+++ b/packages/program-settings/tests/program_settings_test.cpp
@@ -33,9 +33,9 @@
                     R"("seeds":["10.0.0.2:70","10.0.0.3:70"],"allow_link_faults":true,"data_folder":"/data"})");
   std::vector<std::string> findings;
   Arguments arguments{{"--settings", text_value(file.name())}, {"--zone", text_value("b")}};
-  ProgramSettings settings = read_settings(arguments, "edge", findings);
+  ProgramSettings settings = read_settings(arguments, DaemonRole::edge, findings);
   EXPECT_TRUE(findings.empty());
-  EXPECT_EQ(settings.self.role, "edge");
+  EXPECT_EQ(settings.self.role, DaemonRole::edge);
   EXPECT_EQ(settings.self.address.text, "10.0.0.1:70");
   EXPECT_EQ(settings.self.http_address, "10.0.0.1:80");
   EXPECT_EQ(settings.self.zone.text, "b");
@@ -49,7 +49,7 @@
   SettingsFile file(R"({"link":7,"http":"x:80","region":"","seeds":"a,,10.0.0.1:70,10.0.0.2:70",)"
                     R"("allow_link_faults":1,"colour":"red"})");
   std::vector<std::string> findings;
-  read_settings({{"--settings", text_value(file.name())}}, "data", findings);
+  read_settings({{"--settings", text_value(file.name())}}, DaemonRole::data, findings);
   const std::string place = file.name() + ": /";
   EXPECT_EQ(
       findings,
@@ -71,7 +71,7 @@
        {Case{"/none/here", "/none/here: can't be read"}, Case{list.name(), list.name() + ": must be a JSON object"},
         Case{broken.name(), broken.name() + ": not JSON at byte 8"}}) {
     std::vector<std::string> findings;
-    read_settings({{"--settings", text_value(wrong.name)}}, "data", findings);
+    read_settings({{"--settings", text_value(wrong.name)}}, DaemonRole::data, findings);
     ASSERT_FALSE(findings.empty());
     EXPECT_EQ(findings.front(), wrong.finding);
   }
@@ -84,7 +84,7 @@
                       {"--zone", text_value("a")},
                       {"--region", text_value("north")},
                       {"--seeds", text_value("10.0.0.1:70")}};
-  read_settings(arguments, "edge", findings);
+  read_settings(arguments, DaemonRole::edge, findings);
   EXPECT_EQ(findings, std::vector<std::string>{"--http: must differ from the link address"});
 }
 
