--- a/packages/peer-connections/src/frame_codec.cpp
+++ b/packages/peer-connections/src/frame_codec.cpp
@@ -12,17 +12,17 @@
 constexpr std::size_t handshake_sender_offset = sizeof(std::uint32_t) + sizeof(std::uint64_t);
 constexpr int fastest_compression = 1;
 
-template <class Integer>
-void append_little_endian(std::string& out, Integer number) {
-  for (std::size_t i = 0; i < sizeof(Integer); ++i)
+template <class Unsigned>
+void append_little_endian(std::string& out, Unsigned number) {
+  for (std::size_t i = 0; i < sizeof(Unsigned); ++i)
     out.push_back(static_cast<char>(number >> (8 * i)));
 }
 
-template <class Integer>
-Integer read_little_endian(const char* start) {
-  Integer number = 0;
-  for (std::size_t i = 0; i < sizeof(Integer); ++i)
-    number |= static_cast<Integer>(static_cast<unsigned char>(start[i])) << (8 * i);
+template <class Unsigned>
+Unsigned read_little_endian(const char* start) {
+  Unsigned number = 0;
+  for (std::size_t i = 0; i < sizeof(Unsigned); ++i)
+    number |= static_cast<Unsigned>(static_cast<unsigned char>(start[i])) << (8 * i);
   return number;
 }
 
--- a/packages/program-settings/src/program_settings.cpp
+++ b/packages/program-settings/src/program_settings.cpp
@@ -95,13 +95,13 @@
 
  private:
   // The value of one setting, with the place that findings about it name.
-  struct Text {
+  struct TextSetting {
     std::string value;
     std::string place;
   };
-  Text read_text(const SettingName& setting);
-  Text read_required_text(const SettingName& setting);
-  Text read_address(const SettingName& setting);
+  TextSetting read_text(const SettingName& setting);
+  TextSetting read_required_text(const SettingName& setting);
+  TextSetting read_address(const SettingName& setting);
   std::string place_in_file(const SettingName& setting) const { return file_name_ + ": /" + setting.key; }
   void add_finding(const std::string& place, const std::string& reason) { findings_.push_back(place + ": " + reason); }
 
@@ -127,7 +127,7 @@
       add_finding(file_name_ + ": /" + key, "is not a known setting");
 }
 
-SettingsReader::Text SettingsReader::read_text(const SettingName& setting) {
+SettingsReader::TextSetting SettingsReader::read_text(const SettingName& setting) {
   auto flag = arguments_.find(setting.flag);
   if (flag != arguments_.end() && flag->second.isString())
     return {flag->second.asString(), setting.flag};
@@ -144,15 +144,15 @@
   return {entry->get<std::string>(), place};
 }
 
-SettingsReader::Text SettingsReader::read_required_text(const SettingName& setting) {
-  Text text = read_text(setting);
+SettingsReader::TextSetting SettingsReader::read_required_text(const SettingName& setting) {
+  TextSetting text = read_text(setting);
   if (text.value.empty())
     add_finding(text.place, "is required");
   return text;
 }
 
-SettingsReader::Text SettingsReader::read_address(const SettingName& setting) {
-  Text text = read_text(setting);
+SettingsReader::TextSetting SettingsReader::read_address(const SettingName& setting) {
+  TextSetting text = read_text(setting);
   absl::StatusOr<SocketAddress> address = parse_socket_address(text.value);
   if (text.value.empty())
     add_finding(text.place, "is required (IP:PORT)");
@@ -163,7 +163,7 @@
 
 void SettingsReader::read_addresses(DaemonEntry& self) {
   self.address.text = read_address(peer_address_setting).value;
-  Text http = read_address(http_address_setting);
+  TextSetting http = read_address(http_address_setting);
   self.http_address = http.value;
   if (!http.value.empty() && http.value == self.address.text)
     add_finding(http.place, "must differ from the link address");
@@ -175,7 +175,7 @@
 }
 
 std::vector<Address> SettingsReader::read_seeds() {
-  Text text = read_text(seeds_setting);
+  TextSetting text = read_text(seeds_setting);
   std::vector<Address> seeds;
   for (const auto& seed : split(text.value, ',')) {
     absl::StatusOr<SocketAddress> address = parse_socket_address(seed);
