--- a/packages/serving-plans/src/configuration_edit.cpp
+++ b/packages/serving-plans/src/configuration_edit.cpp
@@ -1,4 +1,4 @@
-// One declared change worked out on a state.
+// Changes of the configuration: one document put, patched or deleted on a state.
 #include <algorithm>
 #include <nlohmann/json.hpp>
 #include <utility>
@@ -86,15 +86,15 @@
 
 }  // namespace
 
-Outcome<std::string> merge_patch(const std::string& body, const std::string& patch) {
+absl::StatusOr<std::string> merge_patch(const std::string& body, const std::string& patch) {
   if (is_too_deep(patch))
-    return failure("the patch is nested more than 32 deep");
+    return absl::InvalidArgumentError("the patch is nested more than 32 deep");
   try {
     Json document = Json::parse(body);
     document.merge_patch(Json::parse(patch));
     return json_text(document, 2);
-  } catch (const Json::exception& fault) {
-    return failure(std::string("not JSON: ") + fault.what());
+  } catch (const Json::exception& error) {
+    return absl::InvalidArgumentError(std::string("not JSON: ") + error.what());
   }
 }
 
@@ -117,9 +117,10 @@
   std::string body = edit.body;
   if (edit.action == "patch") {
     auto merged = merge_patch(found->body, edit.body);
-    if (!merged) {
-      result.findings.push_back({"error", edit.kind + "/" + edit.name, "", 1, 1, merged.reason});
-      return refuse(std::move(result), 400, merged.reason);
+    if (!merged.ok()) {
+      std::string reason(merged.status().message());
+      result.findings.push_back({"error", edit.kind + "/" + edit.name, "", 1, 1, reason});
+      return refuse(std::move(result), 400, reason);
     }
     body = *merged;
   }
--- a/packages/serving-plans/src/documents.cpp
+++ b/packages/serving-plans/src/documents.cpp
@@ -89,12 +89,13 @@
     reader.error(place, "must have 'from' and 'until', and nothing else");
     return;
   }
-  auto from = read_utc(item["from"].get<std::string>()), until = read_utc(item["until"].get<std::string>());
-  if (!from)
-    reader.error(place + "/from", from.reason);
-  if (!until)
-    reader.error(place + "/until", until.reason);
-  if (!from || !until)
+  auto from = read_utc(item["from"].get<std::string>());
+  auto until = read_utc(item["until"].get<std::string>());
+  if (!from.ok())
+    reader.error(place + "/from", std::string(from.status().message()));
+  if (!until.ok())
+    reader.error(place + "/until", std::string(until.status().message()));
+  if (!from.ok() || !until.ok())
     return;
   if (*until <= *from)
     reader.error(place + "/until", "must be after 'from'");
--- a/packages/serving-plans/src/serving_plans.cpp
+++ b/packages/serving-plans/src/serving_plans.cpp
@@ -32,18 +32,18 @@
   return false;
 }
 
-Outcome<std::int64_t> read_utc(const std::string& text) {
+absl::StatusOr<std::int64_t> read_utc(const std::string& text) {
   std::tm parts{};
   int used = 0;
   if (std::sscanf(text.c_str(), "%4d-%2d-%2dT%2d:%2d:%2dZ%n", &parts.tm_year, &parts.tm_mon, &parts.tm_mday,
                   &parts.tm_hour, &parts.tm_min, &parts.tm_sec, &used) != 6 ||
       used != 20 || text.size() != 20)
-    return failure("must be a UTC time like 2026-12-02T01:00:00Z");
+    return absl::InvalidArgumentError("must be a UTC time like 2026-12-02T01:00:00Z");
   parts.tm_year -= 1900;
   parts.tm_mon -= 1;
   std::int64_t seconds = ::timegm(&parts);
   if (show_utc(seconds) != text)
-    return failure("there is no such day or time");
+    return absl::InvalidArgumentError("there is no such day or time");
   return seconds;
 }
 
--- a/packages/serving-plans/tests/serving_plans_test.cpp
+++ b/packages/serving-plans/tests/serving_plans_test.cpp
@@ -176,7 +176,7 @@
     findings.clear();
     RC_ASSERT(read_runner("r", spoiled(runner, seed), findings) || has_errors(findings));
     auto merged = merge_patch(plan, spoiled(plan, seed));
-    RC_ASSERT(merged || !merged.reason.empty());
+    RC_ASSERT(merged.ok() || !merged.status().message().empty());
     FleetState state;
     EditRequest request;
     request.action = "put";
@@ -199,8 +199,8 @@
     EXPECT_EQ(std::pair(findings->front().line, findings->front().column), std::pair(1, 1));
   }
   for (const auto& merged : {merge_patch("{}", body), merge_patch(body, "{}")}) {
-    EXPECT_FALSE(merged);
-    EXPECT_EQ(merged.reason.rfind("not JSON", 0), 0u) << merged.reason;
+    ASSERT_FALSE(merged.ok());
+    EXPECT_EQ(std::string(merged.status().message()).rfind("not JSON", 0), 0u) << merged.status();
   }
   EXPECT_EQ(apply_edit(state_with({}), edit("put", plans_kind, "p", body), 1).code, 400);
   EXPECT_TRUE(read_configuration({Resource{plans_kind, "p", 1, 1, body}}, plan).plans.empty());
@@ -214,7 +214,7 @@
     EXPECT_FALSE(read_plan("p", body, findings));
     ASSERT_FALSE(findings.empty());
     EXPECT_EQ(findings.front().message.rfind("not JSON", 0), 0u);
-    EXPECT_FALSE(merge_patch("{}", body));
+    EXPECT_FALSE(merge_patch("{}", body).ok());
   }
 }
 
