--- a/packages/placement-map/src/placement_map.cpp
+++ b/packages/placement-map/src/placement_map.cpp
@@ -37,14 +37,14 @@
 }
 
 // `status` is null for a runner that has not been probed.
-std::string status_in_map(const RunnerEntry& runner, const RunnerStatus* status, bool is_evacuated) {
+RunnerState state_in_map(const RunnerEntry& runner, const RunnerStatus* status, bool is_evacuated) {
   if (runner.is_leaving)
-    return "leaving";
+    return RunnerState::draining;
   if (is_evacuated)
-    return "emptied";
+    return RunnerState::evacuated;
   if (status == nullptr || !status->is_reachable)
-    return "down";
-  return status->is_warming_up ? "cold" : "warm";
+    return RunnerState::down;
+  return status->is_warming_up ? RunnerState::warming_up : RunnerState::warm;
 }
 
 RunnerRow make_runner_row(const RunnerEntry& runner, const RunnerStatus* status, bool is_evacuated) {
@@ -55,7 +55,7 @@
   row.zone = runner.zone;
   row.region = runner.region;
   row.seal_key = runner.seal_key;
-  row.status = status_in_map(runner, status, is_evacuated);
+  row.state = state_in_map(runner, status, is_evacuated);
   if (status != nullptr) {
     row.incarnation = status->incarnation;
     row.capacity = status->capacity;
@@ -82,8 +82,8 @@
 void add_to_region(const RunnerRow& row, RegionRow& region) {
   region.pool = row.pool;
   region.region = row.region;
-  bool is_warm = row.status == "warm";
-  bool is_warming_up = row.status == "cold";
+  bool is_warm = row.state == RunnerState::warm;
+  bool is_warming_up = row.state == RunnerState::warming_up;
   if (is_warm)
     region.capacity += row.capacity;
   if (is_warming_up)
@@ -167,7 +167,7 @@
     auto status = statuses.find(runner.name);
     RunnerRow row = make_runner_row(runner, status == statuses.end() ? nullptr : &status->second,
                                     evacuated_zones.count(runner.zone) != 0);
-    if (row.status == "cold")
+    if (row.state == RunnerState::warming_up)
       row.warmup_grants = make_warmup_grants(row, gateways, share);
     map.runners.push_back(std::move(row));
   }
--- a/packages/placement-map/src/warmup_shares.cpp
+++ b/packages/placement-map/src/warmup_shares.cpp
@@ -9,7 +9,7 @@
 void WarmupShares::begin_term(const PlacementMap& last_map, bool has_previous_term, TimePoint now) {
   runners_.clear();
   for (const auto& row : last_map.runners) {
-    if (row.status != "cold")
+    if (row.state != RunnerState::warming_up)
       continue;
     Runner& runner = runners_[row.name];
     runner.incarnation = row.incarnation;
--- a/packages/serving-plans/include/emberdale/serving_plans.hpp
+++ b/packages/serving-plans/include/emberdale/serving_plans.hpp
@@ -91,11 +91,6 @@
   std::string seal_key;     // of the message authentication code of its responses
 };
 
-// Kinds of resources.
-inline constexpr const char* plans_kind = "serving-plans";
-inline constexpr const char* orders_kind = "zone-orders";
-inline constexpr const char* runners_kind = "runners";
-
 // Each reads one document and adds all its findings; gives a value only without errors.
 // `is_lenient`: also with errors, as far as it can be read, so that the rules between documents
 // add their findings to the same report.
