--- a/packages/model-checker/include/emberdale/register_world.hpp
+++ b/packages/model-checker/include/emberdale/register_world.hpp
@@ -24,14 +24,14 @@
   finish_change,   // ends a joint change that is under way
 };
 
-// A fault of the machines themselves, planted by what lies between them: the checker must find each.
-enum class PlantedFault {
+// A fault of the machines themselves, planted by the world between them, to show that the checker finds each.
+enum class InjectedFault {
   none,
   forgets_promise,    // an acceptor's disk keeps no promise over a restart
   old_majority_only,  // votes of stores outside the old set are counted unasked
   keeps_wiped_store,  // a wiped store comes back under its old identity
 };
-std::optional<PlantedFault> planted_fault(const std::string& name);
+std::optional<InjectedFault> injected_fault(const std::string& name);
 
 // How often each kind of event may come about on one path: with it, the space of states is finite.
 struct EventBudget {
@@ -44,11 +44,11 @@
   std::vector<int> placed_at;   // proposer of each order; empty: in turn
   bool is_in_sequence = false;  // each order starts once the one before it has ended
   // A proposer's requests reach some acceptors and are answered at once, or are lost: far fewer states, so that
-  // longer stories fit.
+  // longer paths fit.
   bool is_round_atomic = false;
   bool is_sync_separate = false;  // a write reaches the disk in a step of its own
   EventBudget budget;
-  PlantedFault fault = PlantedFault::none;
+  InjectedFault fault = InjectedFault::none;
 };
 
 class RegisterWorld {
@@ -68,7 +68,7 @@
   };
   struct Action {
     ActionKind kind;
-    std::size_t subject;        // index of the letter, order, proposer or acceptor; for an exchange, the proposer's
+    std::size_t subject;        // index of the message, order, proposer or acceptor; for an exchange, the proposer's
     std::uint32_t reached = 0;  // of an exchange: a bit for each acceptor that is reached
   };
 
@@ -91,10 +91,10 @@
  private:
   struct AcceptorNode;
   struct ProposerNode;
-  struct Letter {
+  struct InFlightMessage {
     std::size_t from, to;  // acceptors first, then proposers
     std::shared_ptr<const Message> message;
-    std::uint64_t print = 0;  // without the ask and the store
+    std::uint64_t print = 0;  // fingerprint_of_message(): without the request id and the store
   };
   struct Acknowledged {
     int order;
@@ -119,17 +119,19 @@
   std::size_t proposer_of(std::size_t order) const;
   void add_deliveries(std::vector<Action>& list) const;
   void add_exchanges(std::vector<Action>& list) const;
-  void deliver(const Letter& letter);
+  void deliver(const InFlightMessage& sent);
   void exchange(std::size_t proposer, std::uint32_t reached);
-  std::vector<Letter> take_letters(const std::function<bool(const Letter&)>& is_meant);
+  std::vector<InFlightMessage> take_in_flight(const std::function<bool(const InFlightMessage&)>& is_meant);
+  void pass_time(std::size_t proposer, Duration time);
+  void poll(std::size_t proposer);
   void start_order(std::size_t order);
   Change change_of(std::size_t order) const;
-  std::uint64_t print_arguments(std::size_t order) const;
+  std::uint64_t fingerprint_of_arguments(std::size_t order) const;
   Change replacement() const;
   void after_acceptor(std::size_t index);
   void after_proposer(std::size_t index);
   void send(std::size_t from, std::vector<OutboundMessage> outbound_messages);
-  bool answer_unasked(std::size_t from, const Message& message);
+  bool grant_without_delivery(std::size_t from, const Message& message);
   void sync(std::size_t index);
   void restart(std::size_t index);
   void wipe(std::size_t index);
@@ -140,16 +142,18 @@
   void observe_value(const FleetState& state, const std::string& bytes, const std::string& where);
   void observe_chosen(std::size_t acceptor);
   void check_acknowledged();
+  bool is_majority(const std::vector<std::size_t>& living) const;
   std::string check_majority(const std::vector<std::size_t>& living) const;
+  bool adds_mark(int order) const;
   void fail(const std::string& reason);
-  std::uint64_t print_of(const Letter& letter) const;
+  std::uint64_t fingerprint_of(const InFlightMessage& sent) const;
 
   std::shared_ptr<const RegisterScenario> scenario_;
   std::vector<std::shared_ptr<AcceptorNode>> acceptors_;  // shared by copies of a world: change_acceptor() parts them
   std::vector<std::shared_ptr<ProposerNode>> proposers_;
-  std::vector<Letter> letters_;
+  std::vector<InFlightMessage> in_flight_;
   std::set<std::size_t> started_, ended_;
-  EventBudget left_;
+  EventBudget budget_left_;
   std::shared_ptr<const History> history_;
   std::string violation_;
   std::vector<std::string> events_;
--- a/packages/model-checker/src/main.cpp
+++ b/packages/model-checker/src/main.cpp
@@ -7,9 +7,10 @@
 #include "emberdale/fleet_walk.hpp"
 #include "emberdale/state_search.hpp"
 
-using namespace emberdale;
+namespace emberdale {
+namespace {
 
-static const char usage[] =
+const char usage[] =
     R"(emberdale-model-checker: drives the real state machines of small fleets through every interleaving.
 
 Usage:
@@ -51,8 +52,6 @@
   -h --help              Show this.
 )";
 
-namespace {
-
 using Arguments = std::map<std::string, docopt::value>;
 
 std::vector<std::string> split(const std::string& text) {
@@ -108,7 +107,7 @@
         return failure("no such proposer: " + place);
       scenario.placed_at.push_back(index);
     }
-  auto fault = planted_fault(arguments.at("--fault").asString());
+  auto fault = injected_fault(arguments.at("--fault").asString());
   if (!fault)
     return failure("no such fault: " + arguments.at("--fault").asString());
   scenario.fault = *fault;
@@ -222,9 +221,12 @@
   return report(*scenario, result, spent.count());
 }
 
-}  // namespace
-
-int main(int argc, char** argv) {
+int run(int argc, char** argv) {
   Arguments arguments = docopt::docopt(usage, {argv + 1, argv + argc}, true, "emberdale-model-checker");
   return arguments.at("fleet").asBool() ? check_fleet(arguments) : check_register(arguments);
 }
+
+}  // namespace
+}  // namespace emberdale
+
+int main(int argc, char** argv) { return emberdale::run(argc, argv); }
--- a/packages/model-checker/src/state_inspector.cpp
+++ b/packages/model-checker/src/state_inspector.cpp
@@ -13,8 +13,8 @@
 }
 }  // namespace
 
-ProposerPrint StateInspector::print(const RegisterProposer& proposer, TimePoint clock, std::size_t acceptors,
-                                    const std::function<std::size_t(const StoreId&)>& place, bool is_symmetric) {
+ProposerFingerprint StateInspector::print(const RegisterProposer& proposer, TimePoint clock, std::size_t acceptors,
+                                          const std::function<std::size_t(const StoreId&)>& place, bool is_symmetric) {
   Fingerprint own;
   std::vector<Fingerprint> each(acceptors);
   // A store that is named by its acceptor's index stands in that acceptor's part; the life of the store is its suffix.
@@ -62,7 +62,7 @@
   own.add(proposer.wants_whole_ ? 1 : 0);
   for (const auto& [ballot, state] : proposer.read_states_)
     own.add(ballot).add(encode_state(state));
-  ProposerPrint result;
+  ProposerFingerprint result;
   result.own = own.value();
   for (const auto& print : each)
     result.per_acceptor.push_back(print.value());
@@ -79,10 +79,10 @@
   return print.value();
 }
 
-AskClass StateInspector::ask_class(const RegisterProposer& proposer, std::int64_t ask) {
+RequestClass StateInspector::request_class(const RegisterProposer& proposer, std::int64_t ask) {
   if (proposer.current_ && proposer.current_->ask == ask)
-    return AskClass::round;
-  return proposer.read_ && proposer.read_->ask == ask ? AskClass::read : AskClass::stale;
+    return RequestClass::round;
+  return proposer.read_ && proposer.read_->ask == ask ? RequestClass::read : RequestClass::stale;
 }
 
 }  // namespace emberdale
--- a/packages/model-checker/tests/fleet_walk_test.cpp
+++ b/packages/model-checker/tests/fleet_walk_test.cpp
@@ -3,8 +3,7 @@
 
 #include "emberdale/fleet_walk.hpp"
 
-using namespace emberdale;
-
+namespace emberdale {
 namespace {
 
 std::string story(FleetScenario scenario, const FleetSearchResult& result) {
@@ -27,8 +26,6 @@
   return scenario;
 }
 
-}  // namespace
-
 // Judged without the older zone order, which has a test of its own.
 TEST(FleetWalk, RandomWalksOfThreeAndFiveMachines) {
   FleetScenario scenario;
@@ -70,3 +67,6 @@
   scenario.left_out.clear();
   expect_sound(scenario, walk_fleets(scenario, 100));
 }
+
+}  // namespace
+}  // namespace emberdale
--- a/packages/model-checker/tests/register_model_test.cpp
+++ b/packages/model-checker/tests/register_model_test.cpp
@@ -6,8 +6,7 @@
 
 #include "emberdale/state_search.hpp"
 
-using namespace emberdale;
-
+namespace emberdale {
 namespace {
 
 bool is_there(const RegisterWorld& world, const std::string& words) {
@@ -47,8 +46,6 @@
   return scenario;
 }
 
-}  // namespace
-
 // A joint change that only one member holds is ended on top of: the new set alone then decides, while the old set
 // has chosen something else.
 TEST(RegisterModel, AnUnchosenJointChangeIsNeverEnded) {
@@ -97,8 +94,6 @@
   EXPECT_EQ(world.check_majorities(), "");
 }
 
-namespace {
-
 RegisterScenario appends(int members, int orders, EventBudget budget = {}) {
   RegisterScenario scenario;
   scenario.members = members;
@@ -139,13 +134,11 @@
   auto lines = tell(RegisterWorld(scenario), result.violation->choices);
   EXPECT_EQ(lines.back(), "VIOLATION: " + result.violation->reason);
   EXPECT_EQ(lines.size(), result.violation->choices.size() + 1);
-  scenario.fault = PlantedFault::none;
+  scenario.fault = InjectedFault::none;
   SearchResult without = search_exhaustively(RegisterWorld(scenario), bounds);
   EXPECT_FALSE(without.violation) << story(scenario, without);
 }
 
-}  // namespace
-
 TEST(RegisterModel, EveryInterleavingOfSmallFleetsKeepsTheInvariants) {
   EventBudget one_timer;
   one_timer.timers = 1;
@@ -208,13 +201,13 @@
 TEST(RegisterModel, AnAcceptorThatForgetsItsPromisesIsFound) {
   RegisterScenario scenario = appends(3, 2);
   scenario.budget.restarts = 1;
-  scenario.fault = PlantedFault::forgets_promise;
+  scenario.fault = InjectedFault::forgets_promise;
   expect_found(scenario, {60, 30000, 0}, "a majority holds another value of version 2");
 }
 
 TEST(RegisterModel, AProposerThatNeedsTheOldMajorityAloneIsFound) {
   RegisterScenario scenario = one_replacement();
-  scenario.fault = PlantedFault::old_majority_only;
+  scenario.fault = InjectedFault::old_majority_only;
   expect_found(scenario, {60, 20000, 0}, "is lost to a majority");
 }
 
@@ -222,7 +215,7 @@
   RegisterScenario scenario = appends(3, 1);
   scenario.budget.wipes = 1;
   scenario.budget.polls = 1;
-  scenario.fault = PlantedFault::keeps_wiped_store;
+  scenario.fault = InjectedFault::keeps_wiped_store;
   expect_found(scenario, {60, 5000, 0}, "order-0, acknowledged at version 2, is lost");
 }
 
@@ -243,3 +236,6 @@
   EXPECT_FALSE(read_choices("1,,2"));
   EXPECT_FALSE(read_choices("1,x"));
 }
+
+}  // namespace
+}  // namespace emberdale
