--- a/packages/history-checker/src/main.cpp
+++ b/packages/history-checker/src/main.cpp
@@ -7,10 +7,10 @@
 
 #include "emberdale/linearizability.hpp"
 
-using namespace emberdale;
-using namespace emberdale::history;
+namespace emberdale::history {
+namespace {
 
-static const char usage[] =
+const char usage[] =
     R"(emberdale-history-checker: tells whether recorded calls of operators and readers are linearizable.
 
 Usage:
@@ -26,7 +26,6 @@
 Exit status: 0 linearizable; 1 not linearizable; 2 the file can't be read; 3 undecided.
 )";
 
-namespace {
 enum ExitStatus { linearizable = 0, not_linearizable = 1, unreadable = 2, undecided = 3 };
 
 int exit_status(Verdict verdict) {
@@ -34,10 +33,9 @@
     return linearizable;
   return verdict == Verdict::not_linearizable ? not_linearizable : undecided;
 }
-}  // namespace
 
-int main(int count, char** words) {
-  auto arguments = docopt::docopt(usage, {words + 1, words + count}, true, "emberdale-history-checker 0.1");
+int run(int argc, char** argv) {
+  auto arguments = docopt::docopt(usage, {argv + 1, argv + argc}, true, "emberdale-history-checker 0.1");
   std::ifstream file(arguments["FILE"].asString());
   if (!file) {
     std::cerr << arguments["FILE"].asString() << " can't be read\n";
@@ -55,3 +53,8 @@
   std::cout << report(verdict) << "took " << took.count() << " ms\n";
   return exit_status(verdict.verdict);
 }
+
+}  // namespace
+}  // namespace emberdale::history
+
+int main(int argc, char** argv) { return emberdale::history::run(argc, argv); }
--- a/packages/history-checker/tests/history_properties_test.cpp
+++ b/packages/history-checker/tests/history_properties_test.cpp
@@ -11,9 +11,7 @@
 #include "emberdale/linearizability.hpp"
 #include "history_minimizer.hpp"
 
-using namespace emberdale;
-using namespace emberdale::history;
-
+namespace emberdale::history {
 namespace {
 
 // A call as it is to be made, with the moment at which it reaches the register, if it does.
@@ -272,8 +270,6 @@
 
 ObjectKind any_kind() { return all_kinds[*rc::gen::inRange(0, 3)]; }
 
-}  // namespace
-
 TEST(HistoryProperties, HistoriesOfACorrectRegisterAreAccepted) {
   std::size_t calls = 0;
   auto began = std::chrono::steady_clock::now();
@@ -370,3 +366,6 @@
   std::printf("%zu steps\n", steps);
   EXPECT_GT(steps, 10000u);
 }
+
+}  // namespace
+}  // namespace emberdale::history
--- a/packages/history-checker/tests/linearizability_test.cpp
+++ b/packages/history-checker/tests/linearizability_test.cpp
@@ -5,9 +5,7 @@
 
 #include <sstream>
 
-using namespace emberdale;
-using namespace emberdale::history;
-
+namespace emberdale::history {
 namespace {
 
 constexpr const char* configuration = "configuration";
@@ -69,8 +67,6 @@
 HistoryBuilder zone_history() { return HistoryBuilder(ObjectKind::zone_order); }
 HistoryBuilder resource_history() { return HistoryBuilder(ObjectKind::resource); }
 
-}  // namespace
-
 TEST(Linearizability, AStaleReadIsRejected) {
   auto history = configuration_history();
   history.change(0, 10, CallOutcome::acknowledged, 0, 1, "one");
@@ -285,3 +281,6 @@
   std::stringstream broken("{}\n{}\n");
   EXPECT_EQ(read_history(broken).reason, "line 1 is no call of a history");
 }
+
+}  // namespace
+}  // namespace emberdale::history
