--- a/packages/stand-ins/src/caller_stand_in.cpp
+++ b/packages/stand-ins/src/caller_stand_in.cpp
@@ -1,4 +1,4 @@
-// A stand-in for the callers of a deployment: drives the brief's mix and checks every answer.
+// A test double of the clients of a deployment: makes the load of its mix of calls, and checks every response.
 #include <cpprest/http_client.h>
 #include <docopt/docopt.h>
 #include <pplx/threadpool.h>
@@ -15,12 +15,14 @@
 #include "emberdale/program_settings.hpp"
 #include "emberdale/runner_seal.hpp"
 
-using namespace emberdale;
+namespace emberdale {
+namespace {
+
 using Json = nlohmann::json;
 using web::http::http_request;
 using web::http::http_response;
 
-static const char usage[] = R"(A stand-in for the callers, for tests.
+const char usage[] = R"(A stand-in for the callers, for tests.
 
 Usage:
   emberdale-caller-stand-in [options]
@@ -37,8 +39,6 @@
   -h --help          Show this.
 )";
 
-namespace {
-
 struct Kind {
   std::string name, path;
   double share;
@@ -239,49 +239,76 @@
 
   void step(const std::shared_ptr<Reading>& reading) {
     reading->source.getn(reading->bytes.data(), 1).then([this, reading](pplx::task<std::size_t> got) {
-      std::size_t size = 0;
-      try {
-        size = got.get();
-        if (size == 1) {
-          std::size_t more = std::min(reading->source.in_avail(), reading->bytes.size() - 1);
-          for (; more > 0; --more)
-            reading->bytes[size++] = static_cast<std::uint8_t>(reading->source.sbumpc());
-        }
-      } catch (const std::exception&) {
-        size = 0;
-      }
-      const auto& call = reading->call;
-      if (size == 0) {
-        if (reading->is_sealed)
-          return finish(call, "served", "");
-        return finish(call, "broken", "the stream ended without a seal or an error");
-      }
-      for (const auto& event : reading->cutter.feed(
-               std::string(reading->bytes.begin(), reading->bytes.begin() + static_cast<std::ptrdiff_t>(size)))) {
-        if (reading->is_sealed)
-          return wrong(call, "an event after the sealed end");
-        if (event.event == "error")
-          return finish(call, "stream-error", event.data);
-        if (event.event == "sealed") {
-          if (reading->next != call->pieces + 1)
-            return wrong(call,
-                         "sealed after " + std::to_string(reading->next - 1) + " of " + std::to_string(call->pieces));
-          reading->is_sealed = true;
-          continue;
-        }
-        Json piece = Json::parse(event.data, nullptr, false);
-        if (!piece.is_object() || event.id != std::to_string(reading->next) ||
-            piece.value("piece", 0) != reading->next || piece.value("call", "") != call->id ||
-            (!reading->runner.empty() && piece.value("runner", "") != reading->runner))
-          return wrong(call, "piece " + event.id + " where " + std::to_string(reading->next) +
-                                 " was due: " + event.data.substr(0, 120));
-        reading->runner = piece.value("runner", "");
-        ++reading->next;
-      }
+      std::size_t size = read_available(*reading, got);
+      if (size == 0)
+        return finish_stream(*reading);
+      std::string bytes(reading->bytes.begin(), reading->bytes.begin() + static_cast<std::ptrdiff_t>(size));
+      for (const auto& event : reading->cutter.feed(bytes))
+        if (!accept_event(*reading, event))
+          return;
       step(reading);
     });
   }
 
+  // Reads what has arrived beside the first byte; 0: the stream has ended, or broke.
+  static std::size_t read_available(Reading& reading, const pplx::task<std::size_t>& first_byte) {
+    try {
+      std::size_t size = first_byte.get();
+      if (size != 1)
+        return size;
+      std::size_t more = std::min(reading.source.in_avail(), reading.bytes.size() - 1);
+      for (; more > 0; --more)
+        reading.bytes[size++] = static_cast<std::uint8_t>(reading.source.sbumpc());
+      return size;
+    } catch (const std::exception&) {  // a broken connection: finish_stream() judges how far the stream came
+      return 0;
+    }
+  }
+
+  void finish_stream(const Reading& reading) {
+    if (reading.is_sealed)
+      return finish(reading.call, "served", "");
+    finish(reading.call, "broken", "the stream ended without a seal or an error");
+  }
+
+  // Checks one event of a stream; false: the call has ended with it.
+  bool accept_event(Reading& reading, const StreamEvent& event) {
+    const auto& call = reading.call;
+    if (reading.is_sealed) {
+      wrong(call, "an event after the sealed end");
+      return false;
+    }
+    if (event.event == "error") {
+      finish(call, "stream-error", event.data);
+      return false;
+    }
+    return event.event == "sealed" ? accept_seal(reading) : accept_piece(reading, event);
+  }
+
+  bool accept_seal(Reading& reading) {
+    if (reading.next != reading.call->pieces + 1) {
+      wrong(reading.call,
+            "sealed after " + std::to_string(reading.next - 1) + " of " + std::to_string(reading.call->pieces));
+      return false;
+    }
+    reading.is_sealed = true;
+    return true;
+  }
+
+  bool accept_piece(Reading& reading, const StreamEvent& event) {
+    Json piece = Json::parse(event.data, nullptr, false);
+    if (!piece.is_object() || event.id != std::to_string(reading.next) || piece.value("piece", 0) != reading.next ||
+        piece.value("call", "") != reading.call->id ||
+        (!reading.runner.empty() && piece.value("runner", "") != reading.runner)) {
+      wrong(reading.call,
+            "piece " + event.id + " where " + std::to_string(reading.next) + " was due: " + event.data.substr(0, 120));
+      return false;
+    }
+    reading.runner = piece.value("runner", "");
+    ++reading.next;
+    return true;
+  }
+
   void add(const std::string& outcome, const std::string&) {
     std::lock_guard<std::mutex> guard(mutex_);
     ++counts_[outcome];
@@ -331,10 +358,8 @@
   std::vector<std::string> examples_;
 };
 
-}  // namespace
-
-int main(int count, char** words) {
-  auto arguments = docopt::docopt(usage, {words + 1, words + count}, true, "emberdale-caller-stand-in");
+int run(int argc, char** argv) {
+  auto arguments = docopt::docopt(usage, {argv + 1, argv + argc}, true, "emberdale-caller-stand-in");
   crossplat::threadpool::initialize_with_threads(6);
   std::map<std::string, std::vector<std::string>> gateways;
   std::stringstream list(arguments["--gateways"].isString() ? arguments["--gateways"].asString() : "");
@@ -363,3 +388,8 @@
     std::ofstream(arguments["--report"].asString()) << report.dump(2) << "\n";
   return report["wrong"] == 0 ? 0 : 1;
 }
+
+}  // namespace
+}  // namespace emberdale
+
+int main(int argc, char** argv) { return emberdale::run(argc, argv); }
--- a/packages/stand-ins/src/runner_stand_in.cpp
+++ b/packages/stand-ins/src/runner_stand_in.cpp
@@ -1,6 +1,7 @@
-// A stand-in for a model runner (or a small record service): real HTTP, made-up answers.
-// It reports its load, keeps prefixes warm, comes back cold, seals each answer, refuses when
-// full, and writes every execution into a ledger so that a second run of a call is seen.
+// A test double of a model runner, or of a small record service: real HTTP, made-up responses. It reports its load,
+// caches prompt prefixes, warms up after a start, seals each response, refuses when it is full, and appends every
+// execution to a file, so that a second execution of a call is detected. Faults are injected by POST /faults.
+#include <absl/base/thread_annotations.h>
 #include <cpprest/http_listener.h>
 #include <cpprest/producerconsumerstream.h>
 #include <docopt/docopt.h>
@@ -19,20 +20,22 @@
 #include "emberdale/program_settings.hpp"
 #include "emberdale/runner_seal.hpp"
 
-using namespace emberdale;
+namespace emberdale {
+namespace {
+
 using Json = nlohmann::json;
 using web::http::http_request;
 using web::http::http_response;
 
 #ifdef EMBERDALE_RECORD_SERVICE
-static const char* const program = "emberdale-record-stand-in";
-static const bool is_record_service = true;
+const char* const program = "emberdale-record-stand-in";
+const bool is_record_service = true;
 #else
-static const char* const program = "emberdale-runner-stand-in";
-static const bool is_record_service = false;
+const char* const program = "emberdale-runner-stand-in";
+const bool is_record_service = false;
 #endif
 
-static const char usage[] = R"(A stand-in for a back end, for tests.
+const char usage[] = R"(A stand-in for a back end, for tests.
 
 Usage:
   runner [options]
@@ -51,7 +54,47 @@
   -h --help          Show this.
 )";
 
-namespace {
+// A fault that the next calls meet.
+enum class Fault {
+  none,
+  crash_before_execution,
+  crash,
+  hang,
+  slow,
+  cut,
+  wrong_seal,
+  wrong_response,
+  cut_stream,
+  crash_stream,
+  false_end,
+  skip_event
+};
+
+// The names of POST /faults; a name that it doesn't know is no fault.
+Fault fault_of(const std::string& name) {
+  static const std::map<std::string, Fault> faults{{"crash_before", Fault::crash_before_execution},
+                                                   {"crash", Fault::crash},
+                                                   {"hang", Fault::hang},
+                                                   {"slow", Fault::slow},
+                                                   {"cut", Fault::cut},
+                                                   {"wrong_seal", Fault::wrong_seal},
+                                                   {"wrong_answer", Fault::wrong_response},
+                                                   {"cut_stream", Fault::cut_stream},
+                                                   {"crash_stream", Fault::crash_stream},
+                                                   {"false_end", Fault::false_end},
+                                                   {"skip_piece", Fault::skip_event}};
+  auto fault = faults.find(name);
+  return fault == faults.end() ? Fault::none : fault->second;
+}
+
+constexpr int crash_status = 9;
+constexpr std::int64_t record_service_ms = 10, slow_ms = 3000;
+constexpr std::size_t cached_prefixes = 32;
+
+std::string header_of(const http_request& request, const char* name, const std::string& otherwise = "") {
+  auto entry = request.headers().find(name);
+  return entry == request.headers().end() ? otherwise : std::string(entry->second);
+}
 
 class Runner {
  public:
@@ -70,7 +113,7 @@
         started_(steady_now()),
         listener_("http://" + arguments["--http"].asString() + "/") {
     if (arguments["--ledger"].isString())
-      ledger_.open(arguments["--ledger"].asString(), std::ios::app);
+      executions_.open(arguments["--ledger"].asString(), std::ios::app);
     listener_.support([this](http_request request) { handle(std::move(request)); });
   }
 
@@ -89,22 +132,18 @@
  private:
   bool is_warming_up() const { return (steady_now() - started_).value < warm_ms_; }
 
-  void write_ledger(const std::string& act, const http_request& request) {
+  // Counts what became of the request, and appends it to the record of executions.
+  void record(const std::string& what, const http_request& request) {
     std::lock_guard<std::mutex> guard(mutex_);
-    auto header = [&](const char* name) {
-      auto entry = request.headers().find(name);
-      return entry == request.headers().end() ? std::string("-") : std::string(entry->second);
-    };
-    ++counts_[act];
-    if (ledger_.is_open()) {
-      ledger_ << act << ' ' << header("X-Call-Id") << ' ' << header("X-Emberdale-Call") << ' ' << name_ << ' '
-              << std::chrono::duration_cast<std::chrono::milliseconds>(
-                     std::chrono::system_clock::now().time_since_epoch())
-                     .count()
-              << ' ' << running_ << ' ' << (is_warming_up() ? "cold" : "warm") << ' ' << header("X-Emberdale-Config")
-              << '\n';
-      ledger_.flush();  // a killed process keeps what it wrote
-    }
+    ++counts_[what];
+    if (!executions_.is_open())
+      return;
+    auto now = std::chrono::system_clock::now().time_since_epoch();
+    executions_ << what << ' ' << header_of(request, "X-Call-Id", "-") << ' '
+                << header_of(request, "X-Emberdale-Call", "-") << ' ' << name_ << ' '
+                << std::chrono::duration_cast<std::chrono::milliseconds>(now).count() << ' ' << running_ << ' '
+                << (is_warming_up() ? "cold" : "warm") << ' ' << header_of(request, "X-Emberdale-Config", "-") << '\n';
+    executions_.flush();  // a killed process keeps what it wrote
   }
 
   void add_report(http_response& response) {
@@ -119,7 +158,7 @@
     request.reply(response).then([](pplx::task<void> ended) {
       try {
         ended.get();
-      } catch (const std::exception&) {
+      } catch (const std::exception&) {  // the peer is gone; nobody waits for the response
       }
     });
   }
@@ -137,48 +176,22 @@
     reply(request, response);
   }
 
-  std::string take_fault() {
+  Fault next_fault() {
     std::lock_guard<std::mutex> guard(mutex_);
-    if (fault_left_ <= 0)
-      return "";
-    --fault_left_;
+    if (faulty_calls_left_ <= 0)
+      return Fault::none;
+    --faulty_calls_left_;
     return fault_;
   }
 
   void handle(http_request request) {
     std::string path = request.relative_uri().path();
-    if (path == "/status") {
-      http_response response(200);
-      response.set_body(Json{{"name", name_},
-                             {"incarnation", incarnation_},
-                             {"cold", is_warming_up()},
-                             {"capacity", capacity_},
-                             {"allowance", allowance_},
-                             {"burden", running_.load()}}
-                            .dump(),
-                        "application/json");
-      return reply(request, response);
-    }
-    if (path == "/counts") {
-      std::lock_guard<std::mutex> guard(mutex_);
-      http_response response(200);
-      Json counts(counts_);
-      counts["cold_peak"] = warmup_peak_;
-      response.set_body(counts.dump(), "application/json");
-      return reply(request, response);
-    }
-    if (path == "/faults") {  // {"fault": crash|hang|slow|cut|wrong_seal|wrong_answer|cut_stream|false_end, "calls": N}
-      request.extract_string(true).then([this, request](utility::string_t body) {
-        Json wish = Json::parse(body, nullptr, false);
-        std::lock_guard<std::mutex> guard(mutex_);
-        fault_ = wish.value("fault", "");
-        fault_left_ = wish.value("calls", 1);
-        http_response response(200);
-        response.set_body("{}", "application/json");
-        reply(request, response);
-      });
-      return;
-    }
+    if (path == "/status")
+      return reply_status(request);
+    if (path == "/counts")
+      return reply_counts(request);
+    if (path == "/faults")
+      return set_fault(request);
     request.extract_string(true).then([this, request](pplx::task<utility::string_t> reading) {
       std::string body;
       try {
@@ -186,94 +199,146 @@
       } catch (const std::exception&) {
         return;  // the call never arrived whole: it is not run
       }
-      take(request, body);
+      execute(request, body);
     });
   }
 
-  void take(const http_request& request, const std::string& body) {
-    auto header = [&](const char* name) {
-      auto entry = request.headers().find(name);
-      return entry == request.headers().end() ? std::string() : std::string(entry->second);
-    };
-    std::string expected = header("X-Emberdale-Incarnation");
-    if (!expected.empty() && expected != std::to_string(incarnation_)) {
-      write_ledger("refuse-incarnation", request);
-      return refuse(request, "incarnation");
-    }
-    std::string fault = take_fault();
-    if (fault == "crash_before")
-      ::_exit(9);
+  void reply_status(const http_request& request) {
+    http_response response(200);
+    response.set_body(Json{{"name", name_},
+                           {"incarnation", incarnation_},
+                           {"cold", is_warming_up()},
+                           {"capacity", capacity_},
+                           {"allowance", allowance_},
+                           {"burden", running_.load()}}
+                          .dump(),
+                      "application/json");
+    reply(request, response);
+  }
+
+  void reply_counts(const http_request& request) {
+    std::lock_guard<std::mutex> guard(mutex_);
+    http_response response(200);
+    Json counts(counts_);
+    counts["cold_peak"] = warmup_peak_;
+    response.set_body(counts.dump(), "application/json");
+    reply(request, response);
+  }
+
+  // The body is {"fault": one of the names of fault_of, "calls": how many calls meet it}.
+  void set_fault(http_request request) {
+    request.extract_string(true).then([this, request](utility::string_t body) {
+      Json wanted = Json::parse(body, nullptr, false);
+      std::lock_guard<std::mutex> guard(mutex_);
+      fault_ = fault_of(wanted.value("fault", ""));
+      faulty_calls_left_ = wanted.value("calls", 1);
+      http_response response(200);
+      response.set_body("{}", "application/json");
+      reply(request, response);
+    });
+  }
+
+  // Takes a slot for the call; false: there is none, and the call was refused.
+  bool admit(const http_request& request) {
     std::int64_t now_running = ++running_;
     if (is_warming_up()) {
       std::lock_guard<std::mutex> guard(mutex_);
       warmup_peak_ = std::max(warmup_peak_, now_running);
     }
-    if (now_running > (is_warming_up() ? allowance_ : capacity_)) {
-      --running_;
-      write_ledger(is_warming_up() ? "refuse-cold" : "refuse-full", request);
-      return refuse(request, "full");
+    if (now_running <= (is_warming_up() ? allowance_ : capacity_))
+      return true;
+    --running_;
+    record(is_warming_up() ? "refuse-cold" : "refuse-full", request);
+    refuse(request, "full");
+    return false;
+  }
+
+  void execute(const http_request& request, const std::string& body) {
+    std::string expected = header_of(request, "X-Emberdale-Incarnation");
+    if (!expected.empty() && expected != std::to_string(incarnation_)) {
+      record("refuse-incarnation", request);
+      return refuse(request, "incarnation");
     }
-    write_ledger("run", request);
-    if (fault == "crash")
-      ::_exit(9);
-    if (fault == "hang")
-      return;  // keeps its slot and never answers
+    Fault fault = next_fault();
+    if (fault == Fault::crash_before_execution)
+      ::_exit(crash_status);
+    if (!admit(request))
+      return;
+    record("run", request);
+    if (fault == Fault::crash)
+      ::_exit(crash_status);
+    if (fault == Fault::hang)
+      return;  // keeps its slot and never responds
     Json question = Json::parse(body, nullptr, false);
     if (!question.is_object())
       question = Json::object();
-    std::string call = header("X-Emberdale-Call");
-    Json told{{"call", header("X-Call-Id")},
-              {"echo", stable_hash(body)},
-              {"runner", name_},
-              {"verdict", stable_hash(body) % 3 == 0 ? "reject" : "accept"}};
+    std::string call = header_of(request, "X-Emberdale-Call");
+    Json result{{"call", header_of(request, "X-Call-Id")},
+                {"echo", stable_hash(body)},
+                {"runner", name_},
+                {"verdict", stable_hash(body) % 3 == 0 ? "reject" : "accept"}};
     if (request.method() == web::http::methods::POST && question.contains("pieces") && !is_record_service)
-      return stream(request, call, question, told, fault);
-    std::int64_t ms = is_record_service ? 10 : is_prefix_cached(question.value("opening", "")) ? hit_ms_ : miss_ms_;
-    if (is_warming_up())
-      ms *= 2;
-    if (fault == "slow")
-      ms += 3000;
-    later(ms, [this, request, call, told, fault]() mutable {
+      return stream(request, call, question, result, fault);
+    later(service_ms(question, fault), [this, request, call, result, fault] {
       --running_;
-      if (fault == "wrong_answer")
-        told["call"] = "someone else's";
-      std::string text = told.dump();
-      http_response response(200);
-      add_report(response);
-      std::string seal =
-          seal_of(key_, fault == "wrong_answer" ? "another-call" : call, name_, incarnation_, "200\n" + text);
-      if (fault == "wrong_seal")
-        seal[0] = seal[0] == '0' ? '1' : '0';
-      response.headers().add("X-Runner-Seal", seal);
-      if (fault == "cut") {
-        response.headers().set_content_length(text.size() + 100);
-        concurrency::streams::producer_consumer_buffer<std::uint8_t> half;
-        half.putn_nocopy(reinterpret_cast<const std::uint8_t*>(text.data()), text.size() / 2);
-        half.close(std::ios_base::out);
-        response.set_body(half.create_istream(), text.size() + 100, "application/json");
-      } else {
-        response.set_body(text, "application/json");
-      }
-      reply(request, response);
+      respond(request, call, result, fault);
     });
   }
 
+  std::int64_t service_ms(const Json& question, Fault fault) {
+    std::int64_t ms = is_record_service                                 ? record_service_ms
+                      : is_prefix_cached(question.value("opening", "")) ? hit_ms_
+                                                                        : miss_ms_;
+    if (is_warming_up())
+      ms *= 2;
+    return fault == Fault::slow ? ms + slow_ms : ms;
+  }
+
+  void respond(const http_request& request, const std::string& call, Json result, Fault fault) {
+    bool is_wrong = fault == Fault::wrong_response;
+    if (is_wrong)
+      result["call"] = "someone else's";
+    std::string text = result.dump();
+    http_response response(200);
+    add_report(response);
+    std::string seal = seal_of(key_, is_wrong ? "another-call" : call, name_, incarnation_, "200\n" + text);
+    if (fault == Fault::wrong_seal)
+      seal[0] = seal[0] == '0' ? '1' : '0';
+    response.headers().add("X-Runner-Seal", seal);
+    if (fault == Fault::cut)
+      set_cut_body(response, text);
+    else
+      response.set_body(text, "application/json");
+    reply(request, response);
+  }
+
+  // Announces more than it sends, and sends half of the text.
+  static void set_cut_body(http_response& response, const std::string& text) {
+    std::size_t announced = text.size() + 100;
+    response.headers().set_content_length(announced);
+    concurrency::streams::producer_consumer_buffer<std::uint8_t> half;
+    half.putn_nocopy(reinterpret_cast<const std::uint8_t*>(text.data()), text.size() / 2);
+    half.close(std::ios_base::out);
+    response.set_body(half.create_istream(), announced, "application/json");
+  }
+
   struct Stream {
     http_request request;
     concurrency::streams::producer_consumer_buffer<std::uint8_t> out;
-    std::string call, text, fault;
+    std::string call, text;
+    Fault fault = Fault::none;
     std::int64_t next = 1, last = 1;
-    Json told;
+    Json result;
     std::atomic<bool> is_gone{false};
   };
 
-  void stream(const http_request& request, const std::string& call, const Json& question, const Json& told,
-              const std::string& fault) {
+  void stream(const http_request& request, const std::string& call, const Json& question, const Json& result,
+              Fault fault) {
     auto made = std::make_shared<Stream>();
     made->request = request;
     made->call = call;
     made->fault = fault;
-    made->told = told;
+    made->result = result;
     made->last = std::max<std::int64_t>(1, question.value("pieces", 1));
     http_response response(200);
     add_report(response);
@@ -295,16 +360,16 @@
 
   void step(const std::shared_ptr<Stream>& stream) {
     bool is_middle = stream->next > stream->last / 2;
-    if (stream->is_gone || (stream->fault == "cut_stream" && is_middle)) {
+    if (stream->is_gone || (stream->fault == Fault::cut_stream && is_middle)) {
       if (stream->is_gone)
-        write_ledger("caller-gone", stream->request);
+        record("caller-gone", stream->request);
       stream->out.close(std::ios_base::out);
       --running_;
       return;
     }
-    if (stream->fault == "crash_stream" && is_middle)
-      ::_exit(9);
-    bool is_false_end = stream->fault == "false_end" && is_middle;
+    if (stream->fault == Fault::crash_stream && is_middle)
+      ::_exit(crash_status);
+    bool is_false_end = stream->fault == Fault::false_end && is_middle;
     if (stream->next > stream->last || is_false_end) {
       std::string seal =
           seal_of(key_, stream->call, name_, incarnation_, stream->text + (is_false_end ? "and more\n" : ""));
@@ -313,10 +378,10 @@
       stream->out.close(std::ios_base::out);
       return;
     }
-    Json piece = stream->told;
+    Json piece = stream->result;
     piece["piece"] = stream->next;
     std::string data = piece.dump();
-    if (stream->fault == "skip_piece" && stream->next == 2)
+    if (stream->fault == Fault::skip_event && stream->next == 2)
       ++stream->next;
     stream->text += data + "\n";
     put(stream, event_text({"", std::to_string(stream->next), data}));
@@ -336,7 +401,7 @@
     ++counts_["prefix_misses"];
     recent_.push_front(key);
     cached_[key] = recent_.begin();
-    if (recent_.size() > 32) {
+    if (recent_.size() > cached_prefixes) {
       cached_.erase(recent_.back());
       recent_.pop_back();
     }
@@ -350,19 +415,17 @@
   boost::asio::io_context context_;
   std::atomic<std::int64_t> running_{0};
   std::mutex mutex_;
-  std::int64_t warmup_peak_ = 0;
-  std::map<std::string, std::int64_t> counts_;
-  std::ofstream ledger_;
-  std::string fault_;
-  int fault_left_ = 0;
-  std::list<std::uint64_t> recent_;
-  std::unordered_map<std::uint64_t, std::list<std::uint64_t>::iterator> cached_;
+  std::int64_t warmup_peak_ ABSL_GUARDED_BY(mutex_) = 0;
+  std::map<std::string, std::int64_t> counts_ ABSL_GUARDED_BY(mutex_);
+  std::ofstream executions_;
+  Fault fault_ ABSL_GUARDED_BY(mutex_) = Fault::none;
+  int faulty_calls_left_ ABSL_GUARDED_BY(mutex_) = 0;
+  std::list<std::uint64_t> recent_ ABSL_GUARDED_BY(mutex_);  // prefixes, the last used first
+  std::unordered_map<std::uint64_t, std::list<std::uint64_t>::iterator> cached_ ABSL_GUARDED_BY(mutex_);
 };
 
-}  // namespace
-
-int main(int count, char** words) {
-  auto arguments = docopt::docopt(usage, {words + 1, words + count}, true, program);
+int run(int argc, char** argv) {
+  auto arguments = docopt::docopt(usage, {argv + 1, argv + argc}, true, program);
   for (const char* needed : {"--http", "--name", "--seal-key"})
     if (!arguments[needed].isString()) {
       std::cerr << program << ": " << needed << " is required\n";
@@ -373,3 +436,8 @@
   Runner(arguments).run();
   return 0;
 }
+
+}  // namespace
+}  // namespace emberdale
+
+int main(int argc, char** argv) { return emberdale::run(argc, argv); }
