--- a/packages/fleet-starter/include/emberdale/fleet_of_processes.hpp
+++ b/packages/fleet-starter/include/emberdale/fleet_of_processes.hpp
@@ -75,6 +75,9 @@
   const std::string& deployment() const { return deployment_; }
 
  private:
+  friend class DeploymentBuilder;
+
+  std::string put(const std::string& kind, const std::string& name, const nlohmann::json& body);
   void add(FleetProcess process) { processes_[process.name] = std::move(process); }
   std::string deployment_, folder_, programs_;
   std::map<std::string, FleetProcess> processes_;
--- a/packages/fleet-starter/src/fleet_of_processes.cpp
+++ b/packages/fleet-starter/src/fleet_of_processes.cpp
@@ -50,70 +50,104 @@
   return places;
 }
 
+namespace {
+
+constexpr int machines_per_zone = 3;  // beside the core machine
+constexpr std::size_t addresses_of_a_deployment = 100;
+
+// A deployment's regions and its runners in each zone: two regions of unequal size, zones a and b in the first.
+struct DeploymentShape {
+  std::map<std::string, std::string> region_of_zone;
+  std::map<std::string, int> models_of_zone;
+};
+
+DeploymentShape shape_of(const std::string& deployment) {
+  if (deployment == "caspian")
+    return {{{"a", "north"}, {"b", "north"}, {"c", "south"}}, {{"a", 3}, {"b", 3}, {"c", 5}}};
+  return {{{"a", "valley"}, {"b", "valley"}, {"c", "hills"}}, {{"a", 5}, {"b", 5}, {"c", 8}}};
+}
+
+}  // namespace
+
+// Adds the processes of a deployment, with addresses that were free when the builder was made.
+class DeploymentBuilder {
+ public:
+  explicit DeploymentBuilder(FleetOfProcesses& fleet)
+      : fleet_(fleet), shape_(shape_of(fleet.deployment_)), addresses_(free_addresses(addresses_of_a_deployment)) {
+    for (const char* zone : {"a", "b", "c"})
+      core_links_[zone] = take_address();
+    seeds_ = core_links_["a"] + "," + core_links_["b"] + "," + core_links_["c"];
+  }
+
+  void add_zone(const std::string& zone) {
+    add_daemon(zone + "0-core", "core", zone, "emberdale-control-plane", core_links_[zone]);
+    for (int machine = 1; machine <= machines_per_zone; ++machine) {
+      std::string name = zone + std::to_string(machine);
+      add_daemon(name + "-control", "edge", zone, "emberdale-control-plane", take_address());
+      add_daemon(name + "-data", "data", zone, "emberdale-data-plane", take_address());
+    }
+    for (int i = 0; i < shape_.models_of_zone[zone]; ++i)
+      add_back_end("model-" + std::to_string(++models_), "model", zone, "emberdale-runner-stand-in");
+    add_back_end("record-" + zone, "record", zone, "emberdale-record-stand-in");
+  }
+
+ private:
+  std::string take_address() { return addresses_[next_address_++]; }
+
+  void add_daemon(const std::string& name, const std::string& role, const std::string& zone, const std::string& program,
+                  const std::string& link) {
+    const std::string& region = shape_.region_of_zone[zone];
+    FleetProcess process{name, role, zone, region, link, take_address(), {}, 0};
+    process.words = {fleet_.programs_ + "/" + program,
+                     "--link",
+                     link,
+                     "--http",
+                     process.http,
+                     "--zone",
+                     zone,
+                     "--region",
+                     region,
+                     "--seeds",
+                     seeds_,
+                     "--allow-link-faults"};
+    if (role == "core")
+      process.words.insert(process.words.end(), {"--data-folder", fleet_.folder_ + "/data-" + name});
+    fleet_.add(std::move(process));
+  }
+
+  void add_back_end(const std::string& name, const std::string& role, const std::string& zone,
+                    const std::string& program) {
+    FleetProcess process{name, role, zone, shape_.region_of_zone[zone], "", take_address(), {}, 0};
+    process.words = {fleet_.programs_ + "/" + program,
+                     "--http",
+                     process.http,
+                     "--name",
+                     name,
+                     "--seal-key",
+                     "key-" + name,
+                     "--ledger",
+                     fleet_.folder_ + "/ledger-" + name};
+    if (role == "record")
+      process.words.insert(process.words.end(), {"--capacity", "16", "--allowance", "4", "--warm-ms", "1000"});
+    fleet_.add(std::move(process));
+  }
+
+  FleetOfProcesses& fleet_;
+  DeploymentShape shape_;
+  std::vector<std::string> addresses_;
+  std::size_t next_address_ = 0;
+  std::map<std::string, std::string> core_links_;  // by zone
+  std::string seeds_;
+  int models_ = 0;
+};
+
 FleetOfProcesses::FleetOfProcesses(std::string deployment, std::string folder, std::string programs)
     : deployment_(std::move(deployment)), folder_(std::move(folder)), programs_(std::move(programs)) {
   ::mkdir(folder_.c_str(), 0755);
   recorder_ = std::make_unique<ClientCallRecorder>(history_file());
-  bool is_caspian = deployment_ == "caspian";
-  // Two regions of unequal size: zones a and b in the first, zone c in the second.
-  std::map<std::string, std::string> region_of{{"a", is_caspian ? "north" : "valley"},
-                                               {"b", is_caspian ? "north" : "valley"},
-                                               {"c", is_caspian ? "south" : "hills"}};
-  std::vector<int> models = is_caspian ? std::vector<int>{3, 3, 5} : std::vector<int>{5, 5, 8};
-  auto places = free_addresses(100);
-  std::size_t next = 0;
-  auto take = [&] {
-    return places[next++];
-  };
-  std::map<std::string, std::string> core_connection;
-  for (const char* zone : {"a", "b", "c"})
-    core_connection[zone] = take();
-  std::string seeds = core_connection["a"] + "," + core_connection["b"] + "," + core_connection["c"];
-  int number = 0;
-  std::size_t zone_index = 0;
-  for (const std::string zone : {"a", "b", "c"}) {
-    const std::string& region = region_of[zone];
-    auto daemon = [&](const std::string& name, const std::string& role, const std::string& program,
-                      const std::string& link) {
-      FleetProcess process{name, role, zone, region, link, take(), {}, 0};
-      process.words = {programs_ + "/" + program,
-                       "--link",
-                       link,
-                       "--http",
-                       process.http,
-                       "--zone",
-                       zone,
-                       "--region",
-                       region,
-                       "--seeds",
-                       seeds,
-                       "--allow-link-faults"};
-      if (role == "core") {
-        process.words.push_back("--data-folder");
-        process.words.push_back(folder_ + "/data-" + name);
-      }
-      add(std::move(process));
-    };
-    daemon(zone + "0-core", "core", "emberdale-control-plane", core_connection[zone]);
-    for (int machine = 1; machine <= 3; ++machine) {
-      std::string name = zone + std::to_string(machine);
-      daemon(name + "-control", "edge", "emberdale-control-plane", take());
-      daemon(name + "-data", "data", "emberdale-data-plane", take());
-    }
-    auto back_end = [&](const std::string& name, const std::string& role, const std::string& program) {
-      FleetProcess process{name, role, zone, region, "", take(), {}, 0};
-      process.words = {
-          programs_ + "/" + program,  "--http", process.http, "--name", name, "--seal-key", "key-" + name, "--ledger",
-          folder_ + "/ledger-" + name};
-      if (role == "record")
-        process.words.insert(process.words.end(), {"--capacity", "16", "--allowance", "4", "--warm-ms", "1000"});
-      add(std::move(process));
-    };
-    for (int i = 0; i < models[zone_index]; ++i)
-      back_end("model-" + std::to_string(++number), "model", "emberdale-runner-stand-in");
-    back_end("record-" + zone, "record", "emberdale-record-stand-in");
-    ++zone_index;
-  }
+  DeploymentBuilder builder(*this);
+  for (const std::string zone : {"a", "b", "c"})
+    builder.add_zone(zone);
 }
 
 FleetOfProcesses::~FleetOfProcesses() {
@@ -238,9 +272,29 @@
   process.id = 0;
 }
 
+namespace {
+
+// Waits until the process has ended, and kills it at the deadline. Empty: it ended cleanly; else its name and how.
+std::string wait_for_clean_end(const std::string& name, pid_t id, std::chrono::steady_clock::time_point deadline) {
+  int status = 0;
+  pid_t ended = 0;
+  while ((ended = ::waitpid(id, &status, WNOHANG)) == 0 && std::chrono::steady_clock::now() < deadline)
+    std::this_thread::sleep_for(std::chrono::milliseconds(10));
+  if (ended == 0) {
+    ::kill(id, SIGKILL);
+    ::waitpid(id, &status, 0);
+    return name;
+  }
+  if (WIFEXITED(status) && WEXITSTATUS(status) == 0)
+    return "";
+  return name + " ended with " + std::to_string(WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status));
+}
+
+}  // namespace
+
+// The data plane first, then the control plane, then the back ends.
 std::vector<std::string> FleetOfProcesses::stop() {
   std::vector<std::string> late;
-  // Callers' side first, then the control plane, then the back ends.
   for (const std::string role : {"data", "edge", "core", "model", "record"}) {
     for (auto& [name, process] : processes_)
       if (process.role == role && process.id > 0)
@@ -249,18 +303,9 @@
     for (auto& [name, process] : processes_) {
       if (process.role != role || process.id <= 0)
         continue;
-      int status = 0;
-      pid_t ended = 0;
-      while ((ended = ::waitpid(process.id, &status, WNOHANG)) == 0 && std::chrono::steady_clock::now() < deadline)
-        std::this_thread::sleep_for(std::chrono::milliseconds(10));
-      if (ended == 0) {
-        late.push_back(name);
-        ::kill(process.id, SIGKILL);
-        ::waitpid(process.id, &status, 0);
-      } else if (!WIFEXITED(status) || WEXITSTATUS(status) != 0) {
-        late.push_back(name + " ended with " +
-                       std::to_string(WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status)));
-      }
+      std::string finding = wait_for_clean_end(name, process.id, deadline);
+      if (!finding.empty())
+        late.push_back(finding);
       process.id = 0;
     }
   }
@@ -319,7 +364,7 @@
     web::http::http_request request("GET");
     request.set_request_uri(path);
     return client.request(request).get().extract_string(true).get();
-  } catch (const std::exception&) {
+  } catch (const std::exception&) {  // the process may be down or frozen: that is what the caller asks
     return std::nullopt;
   }
 }
@@ -329,7 +374,7 @@
   try {
     web::http::client::http_client client("http://" + http);
     return client.request("POST", path, body, "application/json").get().extract_string(true).get();
-  } catch (const std::exception&) {
+  } catch (const std::exception&) {  // the process may be down or frozen: that is what the caller asks
     return std::nullopt;
   }
 }
@@ -361,36 +406,13 @@
   return true;
 }
 
-Outcome<bool> FleetOfProcesses::declare() {
-  auto put = [&](const std::string& kind, const std::string& name, const Json& body) -> std::string {
-    std::string file = folder_ + "/" + kind + "-" + name + ".json";
-    std::ofstream(file) << body.dump(2) << "\n";
-    for (int tries = 0; tries < 5; ++tries) {
-      auto ended = client({"put", kind, name, file});
-      if (ended.status == 0)
-        return "";
-      if (tries == 4 || ended.status != 1)
-        return kind + "/" + name + ": " + ended.out;
-      std::this_thread::sleep_for(std::chrono::milliseconds(500));
-    }
-    return "";
-  };
-  for (const auto& [name, process] : processes_) {
-    if (process.role != "model" && process.role != "record")
-      continue;
-    auto fault = put(runners_kind, name,
-                     {{"address", process.http},
-                      {"pool", process.role == "model" ? "models" : "records"},
-                      {"zone", process.zone},
-                      {"region", process.region},
-                      {"seal_key", "key-" + name}});
-    if (!fault.empty())
-      return failure(fault);
-  }
-  bool is_caspian = deployment_ == "caspian";
+namespace {
+
+// The serving plans of a deployment, by name.
+std::map<std::string, Json> plans_of(const std::string& deployment) {
   Json home{{"header", "X-Home-Region"}}, spill{{"allowed", true}, {"limit_percent", 50}};
   std::map<std::string, Json> plans;
-  if (is_caspian) {
+  if (deployment == "caspian") {
     plans["manifest-check"] = {{"service", "berths"}, {"match", {{"path", "/v1/manifest-checks"}}},
                                {"pool", "models"},    {"spill", spill},
                                {"horizon_ms", 5000},  {"prefix_bytes", 2048}};
@@ -413,12 +435,46 @@
                                {"pool", "records"},     {"spill", spill},
                                {"repeatable", true},    {"horizon_ms", 3000}};
   }
-  for (const auto& [name, plan] : plans) {
-    auto fault = put(plans_kind, name, plan);
-    if (!fault.empty())
-      return failure(fault);
+  return plans;
+}
+
+}  // namespace
+
+// Empty: the resource was acknowledged; else the reason. An attempt that the client may repeat is repeated.
+std::string FleetOfProcesses::put(const std::string& kind, const std::string& name, const Json& body) {
+  constexpr int attempts = 5;
+  constexpr int may_be_repeated = 1;  // the client's exit status
+  std::string file = folder_ + "/" + kind + "-" + name + ".json";
+  std::ofstream(file) << body.dump(2) << "\n";
+  for (int attempt = 1;; ++attempt) {
+    ProgramEnd ended = client({"put", kind, name, file});
+    if (ended.status == 0)
+      return "";
+    if (attempt == attempts || ended.status != may_be_repeated)
+      return kind + "/" + name + ": " + ended.out;
+    std::this_thread::sleep_for(std::chrono::milliseconds(500));
+  }
+}
+
+Outcome<bool> FleetOfProcesses::declare() {
+  for (const auto& [name, process] : processes_) {
+    if (process.role != "model" && process.role != "record")
+      continue;
+    std::string reason = put(runners_kind, name,
+                             {{"address", process.http},
+                              {"pool", process.role == "model" ? "models" : "records"},
+                              {"zone", process.zone},
+                              {"region", process.region},
+                              {"seal_key", "key-" + name}});
+    if (!reason.empty())
+      return failure(reason);
+  }
+  for (const auto& [name, plan] : plans_of(deployment_)) {
+    std::string reason = put(plans_kind, name, plan);
+    if (!reason.empty())
+      return failure(reason);
   }
-  auto watched = client({"watch", plans_kind, "--until-in-force"});
+  ProgramEnd watched = client({"watch", plans_kind, "--until-in-force"});
   if (watched.status != 0)
     return failure("the plans are not in force: " + watched.out);
   return true;
--- a/packages/fleet-starter/src/starter_main.cpp
+++ b/packages/fleet-starter/src/starter_main.cpp
@@ -6,9 +6,10 @@
 #include "emberdale/fleet_of_processes.hpp"
 #include "emberdale/program_settings.hpp"
 
-using namespace emberdale;
+namespace emberdale {
+namespace {
 
-static const char usage[] = R"(emberdale-fleet-starter: a whole deployment on this machine, for trying it out.
+const char usage[] = R"(emberdale-fleet-starter: a whole deployment on this machine, for trying it out.
 
 Usage:
   emberdale-fleet-starter [options]
@@ -23,14 +24,29 @@
   -h --help           Show this.
 )";
 
-int main(int count, char** words) {
-  auto arguments = docopt::docopt(usage, {words + 1, words + count}, true, "emberdale-fleet-starter 0.1");
+void print_addresses(const FleetOfProcesses& fleet, const std::string& programs) {
+  std::cout << "deployment " << fleet.deployment() << " serves; addresses also in " << fleet.folder()
+            << "/fleet.json\n";
+  for (const auto& [name, process] : fleet.processes())
+    std::cout << "  " << name
+              << (process.role == "data"                             ? "  callers: "
+                  : process.role == "edge" || process.role == "core" ? "  operators: "
+                                                                     : "  back end: ")
+              << process.http << "  zone " << process.zone << ", region " << process.region << "\n";
+  std::cout << "operators: " << programs << "/emberdale-client --control " << fleet.controls() << " fleet\n"
+            << "callers:   " << programs << "/emberdale-caller-stand-in --deployment " << fleet.deployment()
+            << " --gateways " << fleet.gateways() << "\n"
+            << "Ctrl-C stops it." << std::endl;
+}
+
+int run(int argc, char** argv) {
+  auto arguments = docopt::docopt(usage, {argv + 1, argv + argc}, true, "emberdale-fleet-starter 0.1");
   std::string deployment = arguments["--deployment"].asString();
   if (deployment != "caspian" && deployment != "kathmandu") {
     std::cerr << "--deployment must be caspian or kathmandu\n";
     return 2;
   }
-  std::string self = words[0];
+  std::string self = argv[0];
   std::string programs =
       arguments["--programs"].isString() ? arguments["--programs"].asString() : self.substr(0, self.rfind('/'));
   start_program("emberdale-fleet-starter");
@@ -42,17 +58,7 @@
       return 1;
     }
   }
-  std::cout << "deployment " << deployment << " serves; addresses also in " << fleet.folder() << "/fleet.json\n";
-  for (const auto& [name, process] : fleet.processes())
-    std::cout << "  " << name
-              << (process.role == "data"                             ? "  callers: "
-                  : process.role == "edge" || process.role == "core" ? "  operators: "
-                                                                     : "  back end: ")
-              << process.http << "  zone " << process.zone << ", region " << process.region << "\n";
-  std::cout << "operators: " << programs << "/emberdale-client --control " << fleet.controls() << " fleet\n"
-            << "callers:   " << programs << "/emberdale-caller-stand-in --deployment " << deployment << " --gateways "
-            << fleet.gateways() << "\n"
-            << "Ctrl-C stops it." << std::endl;
+  print_addresses(fleet, programs);
   wait_for_stop();
   auto late = fleet.stop();
   for (const auto& name : late)
@@ -60,3 +66,8 @@
   std::cout << "stopped" << std::endl;
   return late.empty() ? 0 : 1;
 }
+
+}  // namespace
+}  // namespace emberdale
+
+int main(int argc, char** argv) { return emberdale::run(argc, argv); }
