--- a/packages/fleet-simulator/include/emberdale/fleet_simulation.hpp
+++ b/packages/fleet-simulator/include/emberdale/fleet_simulation.hpp
@@ -10,11 +10,11 @@
 #include <vector>
 
 #include "emberdale/call_dispatcher.hpp"
-#include "emberdale/caller_crowd.hpp"
 #include "emberdale/control_call_recorder.hpp"
 #include "emberdale/control_daemon.hpp"
 #include "emberdale/data_daemon.hpp"
 #include "emberdale/invariant_checker.hpp"
+#include "emberdale/load_generator.hpp"
 #include "emberdale/segmented_log.hpp"
 #include "emberdale/simulated_network.hpp"
 #include "emberdale/simulated_runner.hpp"
@@ -35,16 +35,19 @@
 inline SimulationShape caspian_shape() { return {3, {3, 3, 5}, 200}; }
 inline SimulationShape kathmandu_shape() { return {3, {5, 5, 8}, 300}; }
 
-struct CallTally {
-  std::int64_t asked = 0, served = 0, refused = 0, refused_no_grant = 0, unknown = 0, no_daemon = 0, misdirected = 0;
-  // Refused although a warm runner with room was in reach, in a place where the call may run.
+// How the simulated calls ended.
+struct CallCounters {
+  std::int64_t arrived = 0, served = 0, refused = 0, refused_no_grant = 0, unknown = 0, no_daemon = 0, misdirected = 0;
+  // Refused although a warm runner with spare capacity was reachable, in a place where the call may run.
   std::int64_t avoidable = 0;
-  std::map<std::string, std::int64_t> reasons;
+  std::map<std::string, std::int64_t> reasons;  // refusals by the reason that the caller was given
+
+  void add(const CallCounters& other);
 };
 
 // Example:
 //   FleetSimulation fleet(7); fleet.found(); fleet.declare(); fleet.run(Duration{5000});
-//   fleet.kill(fleet.master()); fleet.run(Duration{10000}); fleet.breaks().empty();
+//   fleet.kill(fleet.master()); fleet.run(Duration{10000}); fleet.violations().empty();
 class FleetSimulation {
  public:
   explicit FleetSimulation(std::uint64_t seed, SimulationShape shape = {});
@@ -80,10 +83,10 @@
   SimulatedNetwork& network() { return network_; }
   enum class Disk { good, slow, stalled, full, sync_error };
   void set_disk(const std::string& name, Disk disk);
-  std::int64_t disk_bites() const { return disk_bites_; }  // writes that a bad disk delayed or refused
-  void set_calls(double per_second) { crowd_.rate = per_second; }
+  std::int64_t disk_fault_effects() const { return disk_fault_effects_; }  // writes that a bad disk delayed or refused
+  void set_calls(double per_second) { load_generator_.rate = per_second; }
   void set_loss(double loss) { network_.loss = loss; }
-  CallerCrowd& crowd() { return crowd_; }
+  LoadGenerator& load_generator() { return load_generator_; }
   // Its steady clock leaps ahead; its wall clock either way; it runs at another rate (1000: true).
   void leap_clock(const std::string& name, std::int64_t ms) { node(name).clock += ms; }
   void leap_wall_clock(const std::string& name, std::int64_t seconds) { node(name).wall_offset += seconds; }
@@ -97,16 +100,16 @@
 
   // --- operators ----------------------------------------------------------------------------------
   struct EditOutcome {
-    bool is_over = false;
+    bool is_finished = false;
     std::int64_t code = 0, version = 0;
     std::string body;
-    std::int64_t asked_at = 0, over_at = 0;
-    InvariantChecker::Ask ask;
+    std::int64_t requested_at = 0, finished_at = 0;
+    InvariantChecker::RequestedEdit edit;
     std::size_t recorded_call = 0;  // its place among operators_calls()
   };
   std::shared_ptr<EditOutcome> edit(const std::string& at, const std::string& act, const std::string& kind,
                                     const std::string& name, const std::string& body, std::int64_t expected = -1);
-  // The same, tried at live daemons in turn until acknowledged. Example: fleet.edit_until_done("put", "zone-orders",
+  // The same, injected at live daemons in turn until acknowledged. Example: fleet.edit_until_done("put", "zone-orders",
   // "b", body, Duration{8000})
   bool edit_until_done(const std::string& act, const std::string& kind, const std::string& name,
                        const std::string& body, Duration span);
@@ -131,10 +134,10 @@
   std::vector<std::string> runner_names() const;
   const SimulatedRunner& runner(const std::string& name) const { return runners_.at(name); }
   std::int64_t serving_daemons();  // data daemons with a grant
-  const CallTally& tally() const { return tally_; }
-  void reset_tally() { tally_ = {}; }
-  const std::vector<InvariantViolation>& breaks() const { return watch_.breaks(); }
-  InvariantChecker& watch() { return watch_; }
+  const CallCounters& call_counters() const { return call_counters_; }
+  void reset_call_counters() { call_counters_ = {}; }
+  const std::vector<InvariantViolation>& violations() const { return checker_.violations(); }
+  InvariantChecker& invariant_checker() { return checker_; }
   // Every operator's call and read so far. Example: history::check_history(fleet.operators_calls())
   const std::vector<history::Operation>& operators_calls() const { return recorder_.operations(); }
   struct Figures {
@@ -189,13 +192,20 @@
     bool is_writing = false;
     int starts = 0;
   };
-  struct CallRecord {
-    CrowdCall wish;
-    bool is_over = false;
-    std::int64_t begun = 0;
+  struct PendingCall {
+    GeneratedCall request;
+    bool is_finished = false;
     std::string daemon;
   };
-
+  enum class CallOutcome { served, refused, refused_no_grant, unknown, no_daemon, misdirected };
+  // One attempt of a call: a data daemon sends it to a runner.
+  struct Attempt {
+    SendAct send;
+    std::string daemon;
+    std::int64_t daemon_incarnation = 0;
+    std::int64_t travel_ms = 0;  // each way
+    std::int64_t deadline = 0;   // virtual time
+  };
   Node& add_node(const std::string& name, const std::string& zone, const std::string& role);
   std::string add_daemon(const std::string& zone, const std::string& role);
   void at(std::int64_t when, std::function<void()> act);
@@ -219,12 +229,20 @@
       trace_->record(event, now_, fields...);
   }
   // Callers and calls.
-  void ask_call();
+  void start_call();
   void flush_dispatcher(Node& node);
   void run_send(const std::string& daemon, const SendAct& act);
-  void end_call(CallIndex index, const std::string& outcome, const std::string& reason = "");
+  void arrive_at_runner(const Attempt& attempt, bool is_cut);
+  void run_at_runner(const Attempt& attempt, const SimulatedRunner& runner, bool is_warming_up);
+  void complete_at_runner(const Attempt& attempt, std::int64_t work_generation);
+  void lose_attempt(const Attempt& attempt);
+  SendEnd report_of(const Attempt& attempt, const SimulatedRunner& runner, SendEndKind kind,
+                    const std::string& reason) const;
+  void end_attempt(const Attempt& attempt, const SendEnd& end);
+  void count(CallOutcome outcome);
+  void end_call(CallIndex index, CallOutcome outcome, const std::string& reason = "");
   void end_finally(const FinalAct& act);
-  bool has_room(const CallRecord& call) const;
+  bool has_room(const PendingCall& call) const;
   void end_read(const std::string& where, std::int64_t begun, const FleetState& state);
   void end_edit(const std::shared_ptr<EditOutcome>& outcome, const EditResponse& response);
   Node& node(const std::string& name) { return *nodes_.at(name); }
@@ -236,44 +254,20 @@
   std::int64_t now_ = 0, last_event_ = 0;
   std::priority_queue<Event> events_;
   SimulatedNetwork network_;
-  InvariantChecker watch_;
+  InvariantChecker checker_;
   history::ControlCallRecorder recorder_{history::ControlCallRecorder::ZoneOrderModel::versions};
-  CallerCrowd crowd_;
+  LoadGenerator load_generator_;
   std::map<std::string, std::unique_ptr<Node>> nodes_;
   std::map<Address, std::string> by_address_;
   std::map<std::string, SimulatedRunner> runners_;
   std::vector<Address> seeds_;
   bool has_calls_ = false;
   CallIndex last_call_ = 0;
-  std::map<CallIndex, CallRecord> calls_;
-  CallTally tally_;
+  std::map<CallIndex, PendingCall> calls_;
+  CallCounters call_counters_;
   Figures figures_;
   std::unique_ptr<TraceDigest> trace_;  // none: the fleet is not traced
-  std::int64_t last_change_ = 0, next_port_ = 1, disk_bites_ = 0;
-};
-
-// A random day by one seed: faults, edits and calls for `length`, then peace; all breaks of the rules.
-// Example: run_fault_injection(17, Duration{30000}).breaks.empty()
-struct FaultInjectionResult {
-  std::vector<InvariantViolation> breaks;
-  CallTally tally;
-  std::int64_t acked = 0, refused = 0, unknown = 0;
-  std::string story;                          // what failed when, to read after a break
-  std::map<std::string, std::int64_t> bites;  // how often each fault was seen to have an effect
-  std::map<std::string, std::int64_t> tried;  // how often it was brought about
-  std::string trace_digest;                   // of a day whose shape is traced
-};
-FaultInjectionResult run_fault_injection(std::uint64_t seed, Duration length, bool is_grant_check_off = false);
-
-// A harder day: every fault of the brief, alone and together, crowds, swings, operators at odds, clocks and
-// disks; it ends with one last fault and the machines' return. docs/trials.md lists the faults.
-struct ScenarioPlan {
-  SimulationShape shape;
-  Duration length{30000};
-  std::string only;                             // this fault alone, again and again; empty: all
-  std::function<void(FleetSimulation&)> plant;  // takes a guard out, to see the day's oracle catch it
+  std::int64_t last_change_ = 0, next_port_ = 1, disk_fault_effects_ = 0;
 };
-std::vector<std::string> random_scenario_faults();
-FaultInjectionResult run_random_scenario(std::uint64_t seed, const ScenarioPlan& plan);
 
 }  // namespace emberdale
--- a/packages/fleet-simulator/include/emberdale/invariant_checker.hpp
+++ b/packages/fleet-simulator/include/emberdale/invariant_checker.hpp
@@ -1,5 +1,6 @@
-// The brief's rules as code that watches a fleet: told what happens, it keeps the breaks. It knows
-// nothing of the fleet's insides, so each rule can be tried on a planted break without one.
+// The invariants of the fleet as code: the simulator reports what happens, and the checker keeps the violations. It
+// depends on no part of the simulated fleet, so that each invariant is tested with events made up for the purpose.
+// Without I/O, clock or threads: all times are virtual milliseconds that the caller gives.
 #pragma once
 #include <cstdint>
 #include <deque>
@@ -13,111 +14,136 @@
 namespace emberdale {
 
 struct InvariantViolation {
-  std::int64_t at = 0;
-  std::string rule, detail;
+  std::int64_t at = 0;  // virtual milliseconds
+  std::string rule;     // which invariant; one short sentence that names the violation
+  std::string detail;
 };
 
-// One send of a call, as the moment of sending has it.
-struct WatchedSend {
+// A call that a data daemon sends to a runner, as it is at the time of sending.
+struct SentCall {
   std::int64_t call = 0;
-  std::string daemon, runner, runner_region, home;
-  std::int64_t config_revision = 0;  // of the map it was sent by
+  std::string daemon, runner, runner_region;
+  std::string home;                  // the region that the call must run in; empty: any
+  std::int64_t config_revision = 0;  // of the map that the daemon sent it by
   bool is_retry = false;
 };
 
 // Example:
-//   InvariantChecker watch; watch.told(now, "runners", "m1", true); watch.acknowledged(now, ack);
-//   watch.sent(now, send); watch.ran(now, 7, false); watch.breaks().empty()
+//   InvariantChecker checker;
+//   checker.on_edit_acknowledged(now, acknowledged);
+//   checker.on_call_sent(now, call);
+//   bool is_correct = checker.violations().empty();
 class InvariantChecker {
  public:
-  static constexpr std::int64_t old_plan_limit = 3000, leaving_limit = 5000;
+  // From an acknowledgement on, an older plan may be used for so long, in ms.
+  static constexpr std::int64_t old_plan_limit = 3000;
+  // From the request to mark a runner as leaving on, it may be sent new work for so long, in ms.
+  static constexpr std::int64_t leaving_limit = 5000;
 
-  // --- calls ---------------------------------------------------------------------------------------
-  void sent(std::int64_t now, const WatchedSend& send);
-  // A runner began it. Example: watch.ran(now, call, false)
-  void ran(std::int64_t now, std::int64_t call, bool is_repeatable);
-  void refused(std::int64_t now, std::int64_t call, bool is_repeatable);
-  // A cold runner was asked for more at once than it bears. Example: watch.asked_while_warming_up(now, "m1", 3, 2)
-  void asked_while_warming_up(std::int64_t now, const std::string& runner, std::int64_t at_once,
-                              std::int64_t allowance);
+  // --- calls ---
+  void on_call_sent(std::int64_t now, const SentCall& send);
+  void on_call_started(std::int64_t now, std::int64_t call, bool is_repeatable);
+  void on_call_refused(std::int64_t now, std::int64_t call, bool is_repeatable);
+  // A runner that warms up was sent `at_once` calls at a time, of which it allows `allowance`.
+  void on_request_while_warming_up(std::int64_t now, const std::string& runner, std::int64_t at_once,
+                                   std::int64_t allowance);
 
-  // --- the register and the map ----------------------------------------------------------------------
-  // What a daemon takes for the newest chosen state. Example: watch.saw_state(now, "a1", state, encode_state(state))
-  void saw_state(std::int64_t now, const std::string& daemon, const FleetState& state, const std::string& bytes);
-  // Whether that daemon has shown this version before. Example: if (watch.is_news("a1", 7)) ...
-  bool is_news(const std::string& daemon, std::int64_t version) const {
+  // --- the register and the map ---
+  // What a daemon takes for the newest chosen state; `bytes` is its encoding.
+  void on_state(std::int64_t now, const std::string& daemon, const FleetState& state, const std::string& bytes);
+  // Whether the daemon's newest reported state has another version than this.
+  bool is_new_version(const std::string& daemon, std::int64_t version) const {
     auto seen = seen_versions_.find(daemon);
     return seen == seen_versions_.end() || seen->second != version;
   }
-  // Whether the newest state known holds it from new work. Example: watch.is_barred("m1")
-  bool is_barred(const std::string& runner) const {
+  // Whether the newest known state keeps the runner from new work.
+  bool is_blocked(const std::string& runner) const {
     auto free = free_since_.find(runner);
     return free == free_since_.end() || free->second < newest_revision_;
   }
-  void published(std::int64_t now, const std::string& daemon, const MapVersion& version, const std::string& bytes);
-  // The version by which a data daemon serves. Example: watch.follows(now, "a1-data", view.version)
-  void follows(std::int64_t now, const std::string& daemon, const MapVersion& version);
-  // A daemon has started anew: it may begin from nothing. Example: watch.restarted("a1-data")
-  void restarted(const std::string& daemon) {
+  void on_map_published(std::int64_t now, const std::string& daemon, const MapVersion& version,
+                        const std::string& bytes);
+  // The version of the map that a data daemon serves by.
+  void on_map_applied(std::int64_t now, const std::string& daemon, const MapVersion& version);
+  // A daemon has started again: what it reported before no longer binds it.
+  void on_restarted(const std::string& daemon) {
     seen_versions_.erase(daemon);
     seen_maps_.erase(daemon);
   }
 
-  // --- operators ---------------------------------------------------------------------------------------
-  struct Ask {
+  // --- operators ---
+  struct RequestedEdit {
     std::string change, kind, name, act, body;
     std::int64_t at = 0;
   };
-  struct Ack {
-    Ask ask;
+  struct AcknowledgedEdit {
+    RequestedEdit edit;
     std::int64_t version = 0, config_revision = 0;
   };
-  void acknowledged(std::int64_t now, const Ack& ack);
-  // Definitely refused: it must never be found in the register. Example: watch.turned_down(now, ask)
-  void turned_down(std::int64_t now, const Ask& ask);
-  // A read that began then and showed this state. Example: watch.was_read(now, begun, "a1", *state)
-  void was_read(std::int64_t now, std::int64_t begun, const std::string& daemon, const FleetState& state);
-  // Any edit, when it is asked: a deletion that gets no answer may have been done. Example: watch.asked(ask)
-  void asked(const Ask& ask) {
-    if (ask.act == "delete")
-      open_deletions_[ask.kind + "/" + ask.name].insert(ask.change);
+  // Every edit, when it is requested: a deletion without a response may have taken effect.
+  void on_edit_requested(const RequestedEdit& edit) {
+    if (edit.act == "delete")
+      open_deletions_[edit.kind + "/" + edit.name].insert(edit.change);
   }
-  // After the day: what the register holds, and what each data daemon follows.
-  void settled(std::int64_t now, const FleetState& state);
-  // Example: watch.holds(now, "a1-data", view->plan_versions, {{RunnerName{"m1"}, "leaving"}}, state)
-  void holds(std::int64_t now, const std::string& daemon, const std::map<PlanName, std::int64_t>& plans,
-             const std::map<RunnerName, std::string>& statuses, const FleetState& state);
+  void on_edit_acknowledged(std::int64_t now, const AcknowledgedEdit& acknowledged);
+  // Definitely refused: the change must never be found in the register.
+  void on_edit_refused(std::int64_t now, const RequestedEdit& edit);
+  // A read that was requested at `begun` and has shown this state.
+  void on_read(std::int64_t now, std::int64_t begun, const std::string& daemon, const FleetState& state);
 
-  void broken(std::int64_t now, const std::string& rule, const std::string& detail);
-  const std::vector<InvariantViolation>& breaks() const { return breaks_; }
+  // --- after a scenario ---
+  // Compares the state that the register holds in the end with everything that was acknowledged.
+  void check_final_state(std::int64_t now, const FleetState& state);
+  // Compares what a data daemon serves by with that state.
+  void check_data_daemon(std::int64_t now, const std::string& daemon, const std::map<PlanName, std::int64_t>& plans,
+                         const std::map<RunnerName, std::string>& statuses, const FleetState& state);
+
+  void report_violation(std::int64_t now, const std::string& rule, const std::string& detail);
+  // At most a few of each invariant, in the order in which they were found.
+  const std::vector<InvariantViolation>& violations() const { return violations_; }
   std::int64_t worst_old_plan_ms() const { return worst_old_plan_ms_; }
-  std::int64_t worst_leaving_ms() const { return worst_leaving_ms_; }            // from the acknowledgement
-  std::int64_t worst_notification_ms() const { return worst_notification_ms_; }  // from the ask
-  // When that runner was last sent anything; 0: never. Example: watch.last_sent("m1")
+  std::int64_t worst_leaving_ms() const { return worst_leaving_ms_; }            // since the acknowledgement
+  std::int64_t worst_notification_ms() const { return worst_notification_ms_; }  // since the request
+  // When the runner was last sent a call; 0: never.
   std::int64_t last_sent(const std::string& runner) const {
     auto last = last_sent_.find(runner);
     return last == last_sent_.end() ? 0 : last->second;
   }
   std::int64_t warmup_excess() const { return warmup_excess_; }
-  std::int64_t acked_revision() const { return acks_.empty() ? 0 : acks_.back().second; }
-  std::size_t acked() const { return acked_.size(); }
   std::size_t reads() const { return reads_; }
 
  private:
-  struct Hold {
+  struct DispatchBlock {
     std::int64_t config_revision = 0;
-    std::int64_t notified_at = 0, acked_at = 0;
+    std::int64_t notified_at = 0, acknowledged_at = 0;
   };
-  struct CallLedger {
+  struct ExecutionRecord {
     int runs = 0;
     bool was_refused = false;
   };
+  struct CountedSend {
+    std::int64_t at;
+    bool is_retry;
+  };
+  struct Acknowledgement {
+    std::int64_t at, config_revision;
+  };
+  struct EndedRead {
+    std::int64_t at, version;  // the newest state version that any read had shown by then
+  };
+
   void check_retries(std::int64_t now, bool is_retry);
+  void on_new_revision(std::int64_t now, const FleetState& state);
+  void check_acknowledged_text(std::int64_t now, const std::string& resource, const AcknowledgedEdit& acknowledged);
+  std::set<std::string> blocked_runners(const RequestedEdit& edit);
+  void block(std::int64_t now, const std::string& runner, const AcknowledgedEdit& acknowledged);
+  void check_deleted(std::int64_t now, const std::string& resource, const AcknowledgedEdit& acknowledged,
+                     const Resource* found, std::int64_t config_revision);
 
-  std::vector<InvariantViolation> breaks_;
-  std::map<std::string, int> broken_;  // by rule
-  std::map<std::int64_t, CallLedger> calls_;
-  std::deque<std::pair<std::int64_t, bool>> window_;  // sends of the last seconds: when, and whether retries
+  std::vector<InvariantViolation> violations_;
+  std::map<std::string, int> violations_by_rule_;  // by rule
+  std::map<std::int64_t, ExecutionRecord> calls_;
+  std::deque<CountedSend> window_;  // of the last seconds
   std::int64_t window_retries_ = 0;
   std::int64_t warmup_excess_ = 0;
   std::map<std::int64_t, std::uint64_t> states_;                         // by state version
@@ -126,19 +152,19 @@
   std::map<std::string, std::int64_t> seen_versions_;
   std::map<std::string, MapVersion> seen_maps_;
   std::int64_t newest_revision_ = -1;
-  std::map<std::string, std::int64_t> free_since_;  // runner: last revision in which nothing holds it
+  std::map<std::string, std::int64_t> free_since_;  // runner: last revision in which nothing blocks it
   std::map<std::pair<std::string, std::int64_t>, std::string> bodies_;   // resource and version: its text
   std::map<std::pair<std::string, std::int64_t>, std::string> winners_;  // resource and version: the change
   std::set<std::string> changes_found_;                                  // in the register's list of changes done
-  std::set<std::string> turned_down_;
+  std::set<std::string> refused_edits_;
   std::map<std::string, std::set<std::string>> open_deletions_;  // by resource: asked, and not refused
-  std::map<std::string, Ack> acked_;                             // by resource: the newest
-  std::vector<std::pair<std::int64_t, std::int64_t>> acks_;      // when, config revision
-  std::map<std::string, Hold> holds_;                            // by runner
+  std::map<std::string, AcknowledgedEdit> newest_acknowledged_;  // by resource: the newest
+  std::vector<Acknowledgement> acknowledgements_;                // revisions ascend
+  std::map<std::string, DispatchBlock> blocks_;                  // by runner
   std::map<std::string, std::int64_t> last_sent_;                // by runner
   std::map<std::string, std::set<std::string>> zone_runners_;
-  std::int64_t newest_read_ = 0;                                    // state version, by the reads that have ended
-  std::deque<std::pair<std::int64_t, std::int64_t>> read_history_;  // when it ended, state version
+  std::int64_t newest_read_ = 0;  // state version, by the reads that have ended
+  std::deque<EndedRead> read_history_;
   std::int64_t worst_old_plan_ms_ = 0, worst_leaving_ms_ = 0, worst_notification_ms_ = 0;
   std::size_t reads_ = 0;
 };
--- a/packages/fleet-simulator/src/fleet_simulation.cpp
+++ b/packages/fleet-simulator/src/fleet_simulation.cpp
@@ -15,7 +15,7 @@
     trace_ = std::make_unique<TraceDigest>();
   network_.near_delay = shape_.near_delay;
   network_.far_delay = shape_.far_delay;
-  crowd_.rate = shape_.calls_per_second;
+  load_generator_.rate = shape_.calls_per_second;
   std::size_t zone_index = 0;
   for (const std::string zone : {"a", "b", "c"}) {
     std::string region = zone == "c" ? "south" : "north";
@@ -150,15 +150,15 @@
     made.log = std::make_unique<SegmentedLog>(made.files, 1 << 16);
     auto opening = made.log->open("store-" + made.name + "-" + std::to_string(made.starts));
     if (!opening) {
-      watch_.broken(now_, "disk", made.name + " can't open its log: " + opening.reason);
+      checker_.report_violation(now_, "disk", made.name + " can't open its log: " + opening.reason);
       return;
     }
     if (opening->was_corrupt)
-      watch_.broken(now_, "disk", made.name + " reads corruption after a clean fault: " + opening->finding);
+      checker_.report_violation(now_, "disk", made.name + " reads corruption after a clean fault: " + opening->finding);
     acceptor = std::make_unique<RegisterAcceptor>(opening->store);
     auto restored = acceptor->restore(opening->records);
     if (!restored)
-      watch_.broken(now_, "disk", made.name + ": " + restored.reason);
+      checker_.report_violation(now_, "disk", made.name + ": " + restored.reason);
   }
   ControlDaemonSettings settings;
   settings.self = DaemonEntry{made.address,        "http-" + made.name,     made.role,
@@ -168,7 +168,7 @@
   made.control = std::make_unique<ControlDaemon>(settings, std::move(acceptor));
   made.control->on_publish = [this, name = made.name](const PlacementMap& map) {
     ++figures_.maps_published;
-    watch_.published(now_, name, map.version, encode_message(Message{PlacementUpdate{map, false}}));
+    checker_.on_map_published(now_, name, map.version, encode_message(Message{PlacementUpdate{map, false}}));
   };
 }
 
@@ -183,7 +183,7 @@
   made.while_frozen.clear();
   made.to_write.clear();
   made.is_writing = false;
-  watch_.restarted(name);
+  checker_.on_restarted(name);
   if (made.role == "data") {
     DaemonEntry self{made.address, "http-" + name, "data", ZoneName{made.zone}, RegionName{made.region}, made.starts};
     made.data =
@@ -239,8 +239,8 @@
   target.is_up = false;
   ++target.incarnation;
   for (auto& [index, call] : calls_)
-    if (call.daemon == name && !call.is_over)
-      end_call(index, "no_daemon");
+    if (call.daemon == name && !call.is_finished)
+      end_call(index, CallOutcome::no_daemon);
   if (target.dispatcher) {
     figures_.sends += target.dispatcher->counts().sends;
     figures_.retries += target.dispatcher->counts().retries;
@@ -313,13 +313,13 @@
   if (target.is_writing || target.to_write.empty() || !target.is_up)
     return;
   if (target.disk == Disk::stalled) {
-    ++disk_bites_;
+    ++disk_fault_effects_;
     return;
   }
   target.is_writing = true;
   std::vector<LogWrite> batch = std::exchange(target.to_write, {});
   if (target.disk != Disk::good)
-    disk_bites_ += static_cast<std::int64_t>(batch.size());
+    disk_fault_effects_ += static_cast<std::int64_t>(batch.size());
   std::vector<std::string> records;
   for (auto& write : batch)
     records.push_back(write.record);
@@ -444,8 +444,8 @@
          status.capacity = probed.capacity;
          status.load = probed.running;
          status.allowance = probed.allowance;
-         trace(TraceEvent::probe_answered, awake.name, runner, status.is_reachable, status.is_warming_up, status.incarnation,
-               status.load);
+         trace(TraceEvent::probe_answered, awake.name, runner, status.is_reachable, status.is_warming_up,
+               status.incarnation, status.load);
          awake.control->on_probe(status, clock(awake));
          flush(awake);
        });
@@ -455,11 +455,11 @@
 void FleetSimulation::check_node(Node& target) {
   if (target.control && target.control->proposer().has_state()) {
     const FleetState& state = target.control->proposer().state();
-    if (watch_.is_news(target.name, state.version))
-      watch_.saw_state(now_, target.name, state, encode_state(state));
+    if (checker_.is_new_version(target.name, state.version))
+      checker_.on_state(now_, target.name, state, encode_state(state));
   }
   if (target.data)
-    watch_.follows(now_, target.name, target.data->view()->version);
+    checker_.on_map_applied(now_, target.name, target.data->view()->version);
 }
 
 // --- what is seen --------------------------------------------------------------------------------------
@@ -509,10 +509,10 @@
 FleetSimulation::Figures FleetSimulation::figures() {
   Figures all = figures_;
   all.messages = network_.sent();
-  all.warmup_peak_over = watch_.warmup_excess();
-  all.worst_old_plan_ms = watch_.worst_old_plan_ms();
-  all.worst_leaving_ms = watch_.worst_leaving_ms();
-  all.worst_notification_ms = watch_.worst_notification_ms();
+  all.warmup_peak_over = checker_.warmup_excess();
+  all.worst_old_plan_ms = checker_.worst_old_plan_ms();
+  all.worst_leaving_ms = checker_.worst_leaving_ms();
+  all.worst_notification_ms = checker_.worst_notification_ms();
   for (auto& [name, made] : nodes_) {
     if (made->dispatcher) {
       all.sends += made->dispatcher->counts().sends;
@@ -527,14 +527,15 @@
 std::string FleetSimulation::trace_digest() {
   if (!trace_)
     return "";
-  trace(TraceEvent::totals, tally_.asked, tally_.served, tally_.refused, tally_.refused_no_grant, tally_.unknown,
-        tally_.no_daemon, tally_.misdirected, tally_.avoidable);
+  trace(TraceEvent::totals, call_counters_.arrived, call_counters_.served, call_counters_.refused,
+        call_counters_.refused_no_grant, call_counters_.unknown, call_counters_.no_daemon, call_counters_.misdirected,
+        call_counters_.avoidable);
   Figures all = figures();
   trace(TraceEvent::totals, all.messages, all.sends, all.retries, all.warmup_peak_over, all.refused_by_runner,
         all.worst_old_plan_ms, all.worst_leaving_ms, all.worst_notification_ms, all.maps_published, all.register_rounds,
-        network_.cut_off(), network_.lost(), network_.delayed(), disk_bites_);
-  for (const auto& broken : watch_.breaks())
-    trace(TraceEvent::totals, broken.at);
+        network_.cut_off(), network_.lost(), network_.delayed(), disk_fault_effects_);
+  for (const auto& violation : checker_.violations())
+    trace(TraceEvent::totals, violation.at);
   return trace_->digest();
 }
 
--- a/packages/fleet-simulator/src/hollow_daemons.cpp
+++ b/packages/fleet-simulator/src/loopback_daemons.cpp
@@ -1,4 +1,5 @@
-// Hollow daemons: the real state machines and the real peer links of many daemons on one thread.
+// Loopback daemons: the real state machines and peer connections of many daemons on one thread, without HTTP. They join
+// the fleet of real daemons that a fleet starter has started, and measure what each more daemon costs.
 #include <malloc.h>
 #include <time.h>
 #include <unistd.h>
@@ -29,13 +30,12 @@
   return static_cast<double>(time.tv_sec) + static_cast<double>(time.tv_nsec) / 1e9;
 }
 
-// Example: HollowDaemon hollow(context, self, seeds); hollow.start();
-class HollowDaemon {
+// Example: LoopbackDaemon daemon(context, self, seeds); auto started = daemon.start();
+class LoopbackDaemon {
  public:
-  HollowDaemon(boost::asio::io_context& context, DaemonEntry self, const std::vector<Address>& seeds)
+  LoopbackDaemon(boost::asio::io_context& context, DaemonEntry self, const std::vector<Address>& seeds)
       : connections_(context, self.address,
                      [this](const Address& from, Message message) {
-                       ++messages_in_;
                        if (control_)
                          control_->on_message(from, message, steady_now());
                        else
@@ -76,7 +76,6 @@
     return true;
   }
   const ConnectionCounts& counts() const { return connections_.counts(); }
-  std::int64_t messages_in() const { return messages_in_; }
   bool is_granted() const {
     return data_ && steady_now() < data_->grant().until && data_->grant().minimum_version <= data_->view()->version;
   }
@@ -101,7 +100,7 @@
       });
     }
     if (control_)
-      control_->drain_probes();  // hollow daemons probe no runner: the master does it in their place
+      control_->drain_probes();  // loopback daemons probe no runner: the master does it in their place
   }
   void tick() {
     timer_.expires_after(std::chrono::milliseconds(25));
@@ -123,10 +122,9 @@
   DaemonEntry self_;
   std::unique_ptr<ControlDaemon> control_;
   std::unique_ptr<DataDaemon> data_;
-  std::int64_t messages_in_ = 0;
 };
 
-// A real daemon beside the hollow ones, as the starter's fleet.json names it.
+// A real daemon beside the loopback daemons, as the starter's fleet.json names it.
 struct RealDaemon {
   std::string name, role, http;
   int process = 0;
@@ -147,8 +145,8 @@
   return text.str();
 }
 
-// Processor time and memory of the process by the system's own word, bytes sent by the daemon's.
-void look_at(RealDaemon& real) {
+// Processor time and memory of the process as the system counts them, bytes sent as the daemon counts them.
+void measure(RealDaemon& real) {
   std::ifstream stat("/proc/" + std::to_string(real.process) + "/stat");
   std::string text;
   std::getline(stat, text);
@@ -186,7 +184,7 @@
   return daemons;
 }
 
-std::vector<std::string> free_places(std::size_t count) {
+std::vector<std::string> free_loopback_addresses(std::size_t count) {
   // Held until all are known, so that no place is given twice.
   boost::asio::io_context context;
   std::vector<boost::asio::ip::tcp::acceptor> held;
@@ -206,83 +204,119 @@
 
 }  // namespace
 
-int run_hollow(const std::string& fleet, int edges, int gateways, Duration window) {
-  if (edges + gateways > 400 || window.value > 300000) {
-    std::cerr << "emberdale-fleet-simulator: at most 400 hollow daemons for 300 s\n";
-    return 2;
-  }
-  std::vector<Address> at;
-  auto reals = read_fleet(fleet, at);
-  if (at.empty()) {
-    std::cerr << "emberdale-fleet-simulator: " << fleet << " names no core daemon\n";
-    return 2;
-  }
-  boost::asio::io_context context;
-  auto places = free_places(static_cast<std::size_t>(edges) + static_cast<std::size_t>(gateways));
-  std::vector<std::unique_ptr<HollowDaemon>> daemons;
+namespace {
+
+constexpr int most_daemons = 400;
+constexpr Duration longest_window{300000};
+constexpr std::chrono::seconds joining_time{15};  // before the window in which everything is measured
+
+using LoopbackDaemons = std::vector<std::unique_ptr<LoopbackDaemon>>;
+
+DaemonEntry entry_of(int number, bool is_edge, const std::string& address) {
+  std::string zone(1, static_cast<char>('a' + number % 3));
+  return {Address{address},
+          "127.0.0.1:1",
+          is_edge ? "edge" : "data",
+          ZoneName{zone},
+          RegionName{zone == "c" ? "south" : "north"},
+          steady_now().value};
+}
+
+// Starts the daemons; false: one did not start, and the reason was printed.
+bool start_daemons(boost::asio::io_context& context, int edges, int gateways, const std::vector<Address>& seeds,
+                   LoopbackDaemons& daemons) {
+  auto addresses = free_loopback_addresses(static_cast<std::size_t>(edges) + static_cast<std::size_t>(gateways));
   for (int i = 0; i < edges + gateways; ++i) {
-    bool is_edge = i < edges;
-    std::string zone(1, static_cast<char>('a' + i % 3));
-    DaemonEntry self{
-        Address{places[static_cast<std::size_t>(i)]}, "127.0.0.1:1",     is_edge ? "edge" : "data", ZoneName{zone},
-        RegionName{zone == "c" ? "south" : "north"},  steady_now().value};
-    daemons.push_back(std::make_unique<HollowDaemon>(context, self, at));
+    DaemonEntry self = entry_of(i, i < edges, addresses[static_cast<std::size_t>(i)]);
+    daemons.push_back(std::make_unique<LoopbackDaemon>(context, self, seeds));
     auto started = daemons.back()->start();
     if (!started) {
       std::cerr << started.reason << "\n";
-      return 1;
+      return false;
     }
   }
-  // A while to join, then the window in which bytes, frames and processor time are told.
-  boost::asio::steady_timer settled(context), over(context);
-  double processor = 0;
-  ConnectionCounts before;
-  std::int64_t in_before = 0;
-  auto sum = [&] {
-    ConnectionCounts all;
-    for (const auto& daemon : daemons) {
-      all.frames_out += daemon->counts().frames_out;
-      all.frames_in += daemon->counts().frames_in;
-      all.frames_dropped += daemon->counts().frames_dropped;
-      all.bytes_out += daemon->counts().bytes_out;
-    }
-    return all;
-  };
-  settled.expires_after(std::chrono::seconds(15));
-  settled.async_wait([&](boost::system::error_code) {
-    processor = processor_seconds();
-    before = sum();
-    for (const auto& daemon : daemons)
-      in_before += daemon->messages_in();
-    for (auto& real : reals)
-      look_at(real);
-  });
-  over.expires_after(std::chrono::seconds(15) + std::chrono::milliseconds(window.value));
-  over.async_wait([&](boost::system::error_code) { context.stop(); });
-  context.run();
+  return true;
+}
+
+ConnectionCounts sum_of(const LoopbackDaemons& daemons) {
+  ConnectionCounts sum;
+  for (const auto& daemon : daemons) {
+    sum.frames_out += daemon->counts().frames_out;
+    sum.frames_in += daemon->counts().frames_in;
+    sum.frames_dropped += daemon->counts().frames_dropped;
+    sum.bytes_out += daemon->counts().bytes_out;
+  }
+  return sum;
+}
+
+// What was measured when the window began.
+struct WindowStart {
+  double processor_seconds = 0;
+  ConnectionCounts counts;
+};
+
+// Measures the real daemons again and prints what they used in the window.
+void print_real_daemons(std::vector<RealDaemon>& daemons, Duration window) {
   std::cout << "real daemons: % of a core, resident MB, KB out/s (control daemons)\n";
-  for (auto& real : reals) {
-    RealDaemon begun = real;
-    look_at(real);
-    std::cout << "  " << real.name << ": " << (real.seconds - begun.seconds) / static_cast<double>(window.value) * 1e5
-              << ", " << real.resident_kb / 1000 << ", "
-              << (real.bytes_out - begun.bytes_out) / static_cast<double>(window.value) << "\n";
+  auto window_ms = static_cast<double>(window.value);
+  for (auto& daemon : daemons) {
+    RealDaemon before = daemon;
+    measure(daemon);
+    std::cout << "  " << daemon.name << ": " << (daemon.seconds - before.seconds) / window_ms * 1e5 << ", "
+              << daemon.resident_kb / 1000 << ", " << (daemon.bytes_out - before.bytes_out) / window_ms << "\n";
   }
-  if (daemons.empty())
-    return 0;
+}
+
+void print_loopback_daemons(const LoopbackDaemons& daemons, int edges, int gateways, const WindowStart& start,
+                            Duration window) {
   double seconds = static_cast<double>(window.value) / 1000, count = edges + gateways;
-  auto after = sum();
+  auto after = sum_of(daemons);
   auto heap = mallinfo2();
   auto granted = std::count_if(daemons.begin(), daemons.end(), [](const auto& daemon) { return daemon->is_granted(); });
   auto masters = std::count_if(daemons.begin(), daemons.end(), [](const auto& daemon) { return daemon->is_master(); });
+  auto per_daemon = [&](auto difference) {
+    return static_cast<double>(difference) / seconds / count;
+  };
   std::cout << "hollow: " << edges << " edge, " << gateways << " data; with a grant " << granted << ", roster "
             << (edges > 0 ? daemons[0]->roster() : 0) << ", masters among them " << masters << "\n"
-            << "each: frames out/s " << static_cast<double>(after.frames_out - before.frames_out) / seconds / count
-            << ", bytes out/s " << static_cast<double>(after.bytes_out - before.bytes_out) / seconds / count
-            << ", frames in/s " << static_cast<double>(after.frames_in - before.frames_in) / seconds / count
-            << ", % of a core " << (processor_seconds() - processor) / seconds / count * 100 << ", heap KB "
+            << "each: frames out/s " << per_daemon(after.frames_out - start.counts.frames_out) << ", bytes out/s "
+            << per_daemon(after.bytes_out - start.counts.bytes_out) << ", frames in/s "
+            << per_daemon(after.frames_in - start.counts.frames_in) << ", % of a core "
+            << (processor_seconds() - start.processor_seconds) / seconds / count * 100 << ", heap KB "
             << static_cast<double>(heap.uordblks + heap.hblkhd) / 1000 / count << "; frames dropped in all "
-            << after.frames_dropped - before.frames_dropped << std::endl;
+            << after.frames_dropped - start.counts.frames_dropped << std::endl;
+}
+
+}  // namespace
+
+int run_loopback_daemons(const std::string& fleet, int edges, int gateways, Duration window) {
+  if (edges + gateways > most_daemons || window > longest_window) {
+    std::cerr << "emberdale-fleet-simulator: at most 400 hollow daemons for 300 s\n";
+    return 2;
+  }
+  std::vector<Address> seeds;
+  auto real_daemons = read_fleet(fleet, seeds);
+  if (seeds.empty()) {
+    std::cerr << "emberdale-fleet-simulator: " << fleet << " names no core daemon\n";
+    return 2;
+  }
+  boost::asio::io_context context;
+  LoopbackDaemons daemons;
+  if (!start_daemons(context, edges, gateways, seeds, daemons))
+    return 1;
+  WindowStart start;
+  boost::asio::steady_timer joined(context, joining_time);
+  joined.async_wait([&](boost::system::error_code) {
+    start = {processor_seconds(), sum_of(daemons)};
+    for (auto& daemon : real_daemons)
+      measure(daemon);
+  });
+  boost::asio::steady_timer over(context, joining_time + std::chrono::milliseconds(window.value));
+  over.async_wait([&](boost::system::error_code) { context.stop(); });
+  context.run();
+  print_real_daemons(real_daemons, window);
+  if (!daemons.empty())
+    print_loopback_daemons(daemons, edges, gateways, start, window);
   return 0;
 }
 
--- a/packages/fleet-simulator/src/scale_delivery.cpp
+++ b/packages/fleet-simulator/src/scale_delivery.cpp
@@ -54,10 +54,10 @@
   at.codec_ns += cost.ns;
   ++counts_.messages;
   counts_.bytes += cost.bytes;
-  auto& tally = counts_.encoded[kind];
-  ++tally.number;
-  tally.bytes += cost.bytes;
-  tally.ns += cost.ns;
+  auto& counter = counts_.encoded[kind];
+  ++counter.number;
+  counter.bytes += cost.bytes;
+  counter.ns += cost.ns;
 }
 
 void ScaleFleet::deliver(std::size_t from, const Address& to, Message message) {
@@ -118,11 +118,11 @@
 
 void ScaleFleet::charge_receiver(const Delivery& delivery) {
   std::size_t kind = delivery.message->index();
-  auto& tally =
+  auto& counter =
       counts_
           .sent[static_cast<std::size_t>(delivery.sender_role)][static_cast<std::size_t>(role(delivery.target))][kind];
-  ++tally.number;
-  tally.bytes += delivery.bytes;
+  ++counter.number;
+  counter.bytes += delivery.bytes;
   auto& at = counts_.daemons[delivery.target];
   ++at.in;
   at.bytes_in += delivery.bytes;
--- a/packages/fleet-simulator/src/scale_fleet.cpp
+++ b/packages/fleet-simulator/src/scale_fleet.cpp
@@ -185,9 +185,9 @@
 void ScaleFleet::timed(std::size_t index, std::size_t kind, const std::function<void()>& act) {
   int as = role(index);
   std::int64_t ns = time_of(act);
-  auto& tally = counts_.handled[static_cast<std::size_t>(as)][kind];
-  ++tally.number;
-  tally.ns += ns;
+  auto& counter = counts_.handled[static_cast<std::size_t>(as)][kind];
+  ++counter.number;
+  counter.ns += ns;
   counts_.daemons[index].machine_ns += ns;
 }
 
--- a/packages/fleet-simulator/src/scale_runs.cpp
+++ b/packages/fleet-simulator/src/scale_runs.cpp
@@ -244,24 +244,24 @@
   for (std::size_t from = 0; from < role_count; ++from)
     for (std::size_t to = 0; to < role_count; ++to)
       for (std::size_t kind = 0; kind < message_kinds; ++kind) {
-        const auto& tally = counts.sent[from][to][kind];
-        if (tally.number == 0)
+        const auto& counter = counts.sent[from][to][kind];
+        if (counter.number == 0)
           continue;
         std::string what = std::string(role_name(static_cast<int>(from))) + " -> " + role_name(static_cast<int>(to)) +
                            " " + message_name(kind);
-        numbers.add(what, column, static_cast<double>(tally.number) / seconds);
-        bytes.add(what, column, static_cast<double>(tally.bytes) / static_cast<double>(tally.number));
+        numbers.add(what, column, static_cast<double>(counter.number) / seconds);
+        bytes.add(what, column, static_cast<double>(counter.bytes) / static_cast<double>(counter.number));
       }
   for (std::size_t role = 0; role < role_count; ++role)
     for (std::size_t kind = 0; kind < message_kinds + 2; ++kind) {
-      const auto& tally = counts.handled[role][kind];
-      if (tally.number < 4)
+      const auto& counter = counts.handled[role][kind];
+      if (counter.number < 4)
         continue;
       std::string what = kind == message_kinds       ? "alarm (40 a second)"
                          : kind == message_kinds + 1 ? "probe's answer"
                                                      : message_name(kind);
       times.add(std::string(role_name(static_cast<int>(role))) + " " + what, column,
-                static_cast<double>(tally.ns) / static_cast<double>(tally.number));
+                static_cast<double>(counter.ns) / static_cast<double>(counter.number));
     }
   for (std::size_t kind = 0; kind < message_kinds; ++kind) {
     const auto& out = counts.encoded[kind];
--- a/packages/fleet-simulator/src/scale_runs.hpp
+++ b/packages/fleet-simulator/src/scale_runs.hpp
@@ -31,16 +31,16 @@
 // Example: std::string(role_name(master_role)) == "master"
 const char* role_name(int role);
 
-struct Tally {
+struct Counter {
   std::int64_t number = 0, bytes = 0, ns = 0;
 };
 
 // What was counted between two moments. Counts and bytes are the same in every run; ns are not.
 struct ScaleCounts {
-  std::array<std::array<std::array<Tally, message_kinds>, role_count>, role_count>
-      sent{};                                                              // from, to, kind: those delivered
-  std::array<std::array<Tally, message_kinds + 2>, role_count> handled{};  // by role; then timers, then probes
-  std::array<Tally, message_kinds> encoded{}, decoded{};
+  std::array<std::array<std::array<Counter, message_kinds>, role_count>, role_count>
+      sent{};                                                                // from, to, kind: those delivered
+  std::array<std::array<Counter, message_kinds + 2>, role_count> handled{};  // by role; then timers, then probes
+  std::array<Counter, message_kinds> encoded{}, decoded{};
   std::int64_t messages = 0, bytes = 0, register_rounds = 0;
   struct AtDaemon {
     std::int64_t in = 0, out = 0, bytes_in = 0, bytes_out = 0, machine_ns = 0, codec_ns = 0;
@@ -183,8 +183,8 @@
 int run_scale(const std::string& dimension, std::vector<int> sizes, Duration window);
 std::vector<std::string> scale_dimensions();
 
-// Hollow daemons over real links on loopback, all in this process, that join the fleet of real daemons in a
-// starter's fleet.json. Example: run_hollow("fleet-run/fleet.json", 30, 30, Duration{20000})
-int run_hollow(const std::string& fleet, int edges, int gateways, Duration window);
+// Daemons over real connections on loopback, all in this process, that join the fleet of real daemons in a
+// starter's fleet.json. Example: run_loopback_daemons("fleet-run/fleet.json", 30, 30, Duration{20000})
+int run_loopback_daemons(const std::string& fleet, int edges, int gateways, Duration window);
 
 }  // namespace emberdale::scale
--- a/packages/fleet-simulator/src/scenarios.hpp
+++ b/packages/fleet-simulator/src/scenarios.hpp
@@ -42,6 +42,14 @@
   return is_there ? fleet.now() - begun : -1;
 }
 
+// All daemons of a zone, named by the first letter of their names, lose power.
+inline void power_cut_zone(FleetSimulation& fleet, char zone) {
+  for (const char* role : {"edge", "data", "core"})
+    for (const auto& name : fleet.names(role))
+      if (name[0] == zone)
+        fleet.power_cut(name);
+}
+
 // Everything loses power at once; `has_new_addresses`: the edge daemons come back elsewhere.
 inline std::int64_t total_loss(FleetSimulation& fleet, bool has_new_addresses) {
   std::vector<std::string> edges = fleet.names("edge");
@@ -63,11 +71,11 @@
       fleet.start(name);
   }
   std::int64_t begun = fleet.now();
-  fleet.reset_tally();
+  fleet.reset_call_counters();
   fleet.run_until(
       [&] {
         return fleet.serving_daemons() == static_cast<std::int64_t>(fleet.names("data").size()) &&
-               fleet.tally().served > 0;
+               fleet.call_counters().served > 0;
       },
       Duration{30000});
   return fleet.now() - begun;
--- a/packages/fleet-simulator/src/simulated_operators.cpp
+++ b/packages/fleet-simulator/src/simulated_operators.cpp
@@ -28,10 +28,10 @@
                                                                     const std::string& kind, const std::string& name,
                                                                     const std::string& body, std::int64_t expected) {
   auto outcome = std::make_shared<EditOutcome>();
-  outcome->asked_at = now_;
+  outcome->requested_at = now_;
   Node& target = node(where);
   if (!target.is_up || target.is_frozen || !target.control) {
-    outcome->is_over = true;
+    outcome->is_finished = true;
     outcome->code = 503;
     return outcome;
   }
@@ -42,8 +42,8 @@
   request.name = name;
   request.expected_version = expected;
   request.body = body;
-  outcome->ask = {request.change_id, kind, name, act, body, now_};
-  watch_.asked(outcome->ask);
+  outcome->edit = {request.change_id, kind, name, act, body, now_};
+  checker_.on_edit_requested(outcome->edit);
   outcome->recorded_call = recorder_.asked("operator", where, request, now_);
   target.control->edit(
       request, [this, outcome](const EditResponse& response) { end_edit(outcome, response); }, clock(target));
@@ -52,8 +52,8 @@
 }
 
 void FleetSimulation::end_edit(const std::shared_ptr<EditOutcome>& outcome, const EditResponse& response) {
-  outcome->is_over = true;
-  outcome->over_at = now_;
+  outcome->is_finished = true;
+  outcome->finished_at = now_;
   outcome->code = response.code;
   outcome->version = response.version;
   outcome->body = response.body;
@@ -62,9 +62,9 @@
   if (response.code == 200 || response.code == 201) {
     auto mark = response.body.find("\"config_revision\":");
     std::int64_t revision = mark == std::string::npos ? 0 : std::atoll(response.body.c_str() + mark + 18);
-    watch_.acknowledged(now_, {outcome->ask, response.version, revision});
+    checker_.on_edit_acknowledged(now_, {outcome->edit, response.version, revision});
   } else if (response.code != 504) {
-    watch_.turned_down(now_, outcome->ask);
+    checker_.on_edit_refused(now_, outcome->edit);
   }
 }
 
@@ -80,7 +80,7 @@
       return false;
     auto outcome = edit(able[static_cast<std::size_t>(random_.below(static_cast<std::int64_t>(able.size())))], act,
                         kind, name, body);
-    run_until([&] { return outcome->is_over; },
+    run_until([&] { return outcome->is_finished; },
               Duration{std::max<std::int64_t>(1, std::min<std::int64_t>(18000, end - now_))});
     if (outcome->code == 200 || outcome->code == 201)
       return true;
@@ -95,14 +95,14 @@
   auto outcome = std::make_shared<EditOutcome>();
   Node& target = node(where);
   if (!target.is_up || target.is_frozen) {
-    outcome->is_over = true;
+    outcome->is_finished = true;
     outcome->code = 503;
     return outcome;
   }
   target.control->replace_core(
       node(old_name).address, node(new_name).address,
       [outcome](int code, const std::string& reason) {
-        outcome->is_over = true;
+        outcome->is_finished = true;
         outcome->code = code;
         outcome->body = reason;
       },
@@ -134,7 +134,7 @@
 }
 
 void FleetSimulation::end_read(const std::string& where, std::int64_t begun, const FleetState& state) {
-  watch_.was_read(now_, begun, where, state);
+  checker_.on_read(now_, begun, where, state);
   recorder_.was_read({"reader", where, begun}, now_, state);
 }
 
@@ -160,14 +160,14 @@
         return true;
       },
       Duration{3000});
-  watch_.settled(now_, *state);
+  checker_.check_final_state(now_, *state);
   for (const auto& name : names("data")) {
     if (!is_running(name) || data(name)->view()->config_revision > state->config_revision)
       continue;
     std::map<RunnerName, std::string> statuses;
     for (const auto& [runner, row] : data(name)->view()->runners)
       statuses[runner] = row.status;
-    watch_.holds(now_, name, data(name)->view()->plan_versions, statuses, *state);
+    checker_.check_data_daemon(now_, name, data(name)->view()->plan_versions, statuses, *state);
   }
   return true;
 }
@@ -195,9 +195,9 @@
       return false;
   bool is_serving =
       run_until([&] { return serving_daemons() == static_cast<std::int64_t>(names("data").size()); }, Duration{10000});
-  if (!has_calls_ && crowd_.rate > 0) {
+  if (!has_calls_ && load_generator_.rate > 0) {
     has_calls_ = true;
-    ask_call();
+    start_call();
   }
   return is_serving;
 }
--- a/packages/fleet-simulator/tests/fleet_simulator_test.cpp
+++ b/packages/fleet-simulator/tests/fleet_simulator_test.cpp
@@ -3,38 +3,36 @@
 #include <gtest/gtest.h>
 
 #include "../src/scenarios.hpp"
+#include "emberdale/fault_injection.hpp"
 
-using namespace emberdale;
-using namespace emberdale::scenarios;
-
+namespace emberdale::scenarios {
 namespace {
 
-std::string show(const std::vector<InvariantViolation>& breaks) {
+std::string show(const std::vector<InvariantViolation>& violations) {
   std::string text;
-  for (const auto& broken : breaks)
-    text += std::to_string(broken.at) + " " + broken.rule + ": " + broken.detail + "\n";
+  for (const auto& violation : violations)
+    text += std::to_string(violation.at) + " " + violation.rule + ": " + violation.detail + "\n";
   return text;
 }
 
 const char* const other_plan =
     R"({"service":"s","match":{"path":"/check"},"pool":"models","horizon_ms":4500,"prefix_bytes":16})";
 
-}  // namespace
-
 TEST(FleetSimulator, ServesInPeaceWithoutOneRefusal) {
   auto fleet = serving_fleet(1);
   ASSERT_TRUE(fleet);
-  fleet->reset_tally();
+  fleet->reset_call_counters();
   fleet->run(Duration{10000});
-  EXPECT_GT(fleet->tally().served, 300);
-  EXPECT_EQ(fleet->tally().refused + fleet->tally().refused_no_grant + fleet->tally().unknown, 0);
-  EXPECT_EQ(show(fleet->breaks()), "");
+  EXPECT_GT(fleet->call_counters().served, 300);
+  EXPECT_EQ(fleet->call_counters().refused + fleet->call_counters().refused_no_grant + fleet->call_counters().unknown,
+            0);
+  EXPECT_EQ(show(fleet->violations()), "");
 }
 
 TEST(FleetSimulator, FixedSeedsOfChaosBreakNoRule) {
   for (std::uint64_t seed = 1; seed <= 24; ++seed) {
     auto result = run_fault_injection(seed, Duration{20000});
-    EXPECT_EQ(show(result.breaks), "") << "seed " << seed << "\n" << result.story;
+    EXPECT_EQ(show(result.violations), "") << "seed " << seed << "\n" << result.event_log;
   }
 }
 
@@ -42,7 +40,7 @@
   // 5018: a torn batch read as corruption. 30216: an edit found in force under a map that did not hold it.
   for (std::uint64_t seed : {5018, 30216}) {
     auto result = run_fault_injection(seed, Duration{30000});
-    EXPECT_EQ(show(result.breaks), "") << "seed " << seed << "\n" << result.story;
+    EXPECT_EQ(show(result.violations), "") << "seed " << seed << "\n" << result.event_log;
   }
 }
 
@@ -57,9 +55,9 @@
     ASSERT_TRUE(fleet->edit_until_done("put", plans_kind, "check", other_plan, Duration{20000}));
     fleet->run(Duration{8000});
     if (is_guard_out)
-      EXPECT_NE(show(fleet->breaks()), "");
+      EXPECT_NE(show(fleet->violations()), "");
     else
-      EXPECT_EQ(show(fleet->breaks()), "");
+      EXPECT_EQ(show(fleet->violations()), "");
     EXPECT_EQ(fleet->dispatcher("a1-data")->counts().refused_no_grant > 0, !is_guard_out);
   }
 }
@@ -72,13 +70,13 @@
   fleet->run(Duration{6000});
   fleet->thaw("b2-data");  // the calls that came meanwhile are in its hands now
   fleet->run(Duration{5000});
-  EXPECT_EQ(show(fleet->breaks()), "");
+  EXPECT_EQ(show(fleet->violations()), "");
 }
 
 TEST(FleetSimulator, AnAcknowledgedChangeOutlivesEveryDaemonAndOneWipedDisk) {
   auto fleet = serving_fleet(5);
   auto outcome = fleet->edit(fleet->master(), "put", plans_kind, "check", other_plan, 1);
-  ASSERT_TRUE(fleet->run_until([&] { return outcome->is_over; }, Duration{20000}));
+  ASSERT_TRUE(fleet->run_until([&] { return outcome->is_finished; }, Duration{20000}));
   ASSERT_EQ(outcome->code, 200);
   for (const char* role : {"edge", "data", "core"})
     for (const auto& name : fleet->names(role))
@@ -100,7 +98,7 @@
         return false;
       },
       Duration{15000}));
-  EXPECT_EQ(show(fleet->breaks()), "");
+  EXPECT_EQ(show(fleet->violations()), "");
 }
 
 TEST(FleetSimulator, OfTwoRivalChangesAtMostOneIsAcknowledged) {
@@ -109,11 +107,11 @@
     auto fleet = serving_fleet(seed);
     auto first = fleet->edit("a1", "put", plans_kind, "check", other_plan, 1);
     auto second = fleet->edit("c2", "patch", plans_kind, "check", R"({"horizon_ms":3333})", 1);
-    fleet->run_until([&] { return first->is_over && second->is_over; }, Duration{9000});
+    fleet->run_until([&] { return first->is_finished && second->is_finished; }, Duration{9000});
     both += first->code == 200 && second->code == 200;
     one += (first->code == 200) != (second->code == 200);
     EXPECT_TRUE(first->code == 412 || second->code == 412);
-    EXPECT_EQ(show(fleet->breaks()), "");
+    EXPECT_EQ(show(fleet->violations()), "");
   }
   EXPECT_EQ(both, 0);
   EXPECT_EQ(one, 10);
@@ -143,7 +141,7 @@
     fleet->heal();
     fleet->run(Duration{6000});
     EXPECT_EQ(fleet->master(), next) << "a fleet with a master keeps it";
-    EXPECT_EQ(show(fleet->breaks()), "") << way;
+    EXPECT_EQ(show(fleet->violations()), "") << way;
   }
 }
 
@@ -167,7 +165,7 @@
       auto fleet = serving_fleet(seed);
       EXPECT_LT(total_loss(*fleet, has_new_addresses), 12000)
           << "seed " << seed << (has_new_addresses ? " new addresses\n" : "\n") << fleet->why_silent();
-      EXPECT_EQ(show(fleet->breaks()), "");
+      EXPECT_EQ(show(fleet->violations()), "");
     }
 }
 
@@ -177,20 +175,20 @@
   std::string fresh = fleet->add_core("b");
   fleet->run(Duration{1500});
   auto refused = fleet->replace_core("a1", "b0", "c0");  // holds a register already
-  ASSERT_TRUE(fleet->run_until([&] { return refused->is_over; }, Duration{9000}));
+  ASSERT_TRUE(fleet->run_until([&] { return refused->is_finished; }, Duration{9000}));
   EXPECT_EQ(refused->code, 409);
   auto unknown = fleet->replace_core("a1", "a1", fresh);  // a1 is no core machine
-  ASSERT_TRUE(fleet->run_until([&] { return unknown->is_over; }, Duration{9000}));
+  ASSERT_TRUE(fleet->run_until([&] { return unknown->is_finished; }, Duration{9000}));
   EXPECT_EQ(unknown->code, 409);
   auto done = fleet->replace_core("a1", "b0", fresh);
-  ASSERT_TRUE(fleet->run_until([&] { return done->is_over; }, Duration{9000}));
+  ASSERT_TRUE(fleet->run_until([&] { return done->is_finished; }, Duration{9000}));
   EXPECT_EQ(done->code, 200);
   // The new copy counts: with it and one other the register takes changes.
   fleet->power_cut("c0");
   EXPECT_TRUE(fleet->edit_until_done("put", plans_kind, "check", other_plan, Duration{20000})) << fleet->why_silent();
   fleet->run(Duration{3000});
   EXPECT_EQ(fleet->serving_daemons(), 9);
-  EXPECT_EQ(show(fleet->breaks()), "");
+  EXPECT_EQ(show(fleet->violations()), "");
 }
 
 TEST(FleetSimulator, LeavingRunnersAndEmptiedZonesGetNoNewWorkAndComeBack) {
@@ -205,10 +203,11 @@
   fleet->thaw("c2-data");
   ASSERT_TRUE(fleet->edit_until_done("put", orders_kind, "b", R"({"state":"serving"})", Duration{20000}));
   fleet->run(Duration{3000});
-  fleet->reset_tally();
+  fleet->reset_call_counters();
   fleet->run(Duration{4000});
-  EXPECT_EQ(fleet->tally().refused + fleet->tally().unknown + fleet->tally().refused_no_grant, 0);
-  EXPECT_EQ(show(fleet->breaks()), "");
+  EXPECT_EQ(fleet->call_counters().refused + fleet->call_counters().unknown + fleet->call_counters().refused_no_grant,
+            0);
+  EXPECT_EQ(show(fleet->violations()), "");
 }
 
 TEST(FleetSimulator, ARegionBackColdUnderACrowdIsNotFlooded) {
@@ -229,9 +228,9 @@
     auto figures = fleet->figures();
     EXPECT_LE(figures.retries * 5, figures.sends + std::int64_t{5} * 9 * 12);
     if (is_guard_out)
-      EXPECT_NE(show(fleet->breaks()), "");
+      EXPECT_NE(show(fleet->violations()), "");
     else
-      EXPECT_EQ(show(fleet->breaks()), "");
+      EXPECT_EQ(show(fleet->violations()), "");
   }
 }
 
@@ -255,13 +254,13 @@
     for (const char* role : {"edge", "data"})
       for (const auto& name : fleet->names(role))
         fleet->cut_both(core, name);
-  fleet->reset_tally();
+  fleet->reset_call_counters();
   fleet->run(Duration{29500});
-  EXPECT_GT(fleet->tally().served, 900);
-  EXPECT_EQ(fleet->tally().refused_no_grant, 0);
+  EXPECT_GT(fleet->call_counters().served, 900);
+  EXPECT_EQ(fleet->call_counters().refused_no_grant, 0);
   fleet->run(Duration{4000});
   EXPECT_EQ(fleet->serving_daemons(), 0);  // its word has lapsed: nothing more is proven
-  EXPECT_EQ(show(fleet->breaks()), "");
+  EXPECT_EQ(show(fleet->violations()), "");
 }
 
 TEST(FleetSimulator, ALeaderLeaseLapsesBeforeANewTermAcknowledges) {
@@ -300,9 +299,9 @@
     fleet->run(Duration{40000});
     EXPECT_EQ(outcome->code, 200) << outcome->body << fleet->why_silent();
     if (guard != Guard::in)
-      EXPECT_NE(show(fleet->breaks()), "");
+      EXPECT_NE(show(fleet->violations()), "");
     else
-      EXPECT_EQ(show(fleet->breaks()), "");
+      EXPECT_EQ(show(fleet->violations()), "");
   }
 }
 
@@ -326,7 +325,7 @@
   EXPECT_TRUE(is_evacuated());
   fleet->run(Duration{18000});
   EXPECT_FALSE(is_evacuated());
-  EXPECT_EQ(show(fleet->breaks()), "");
+  EXPECT_EQ(show(fleet->violations()), "");
 }
 
 TEST(FleetSimulator, AMarkHoldsFromTheAskAlsoWhileNoMasterLeads) {
@@ -345,12 +344,12 @@
     std::int64_t asked = fleet->now();
     fleet->run(Duration{2500});
     // Nobody could make it durable yet, and no data daemon in reach sends to it any more.
-    std::int64_t last = fleet->watch().last_sent("model-b1");
+    std::int64_t last = fleet->invariant_checker().last_sent("model-b1");
     EXPECT_LT(last - asked, 1500) << way;
     fleet->run(Duration{12000});
-    EXPECT_TRUE(outcome->is_over);
+    EXPECT_TRUE(outcome->is_finished);
     EXPECT_TRUE(outcome->code == 200 || outcome->code == 503 || outcome->code == 504) << outcome->code;
-    EXPECT_EQ(show(fleet->breaks()), "") << way;
+    EXPECT_EQ(show(fleet->violations()), "") << way;
   }
 }
 
@@ -361,18 +360,18 @@
   std::string at = was == "a1" ? "a2" : "a1";
   auto outcome = fleet->edit(at, "put", orders_kind, "b", R"({"state":"emptied"})", 9);  // a stale version: it loses
   fleet->run(Duration{1500});
-  auto is_barred = [&] {
+  auto is_blocked = [&] {
     return fleet->data("a1-data")->view()->runners.at(RunnerName{"model-b1"}).status == "emptied";
   };
-  EXPECT_TRUE(is_barred());
+  EXPECT_TRUE(is_blocked());
   fleet->run(Duration{12000});
-  EXPECT_TRUE(outcome->is_over);
+  EXPECT_TRUE(outcome->is_finished);
   EXPECT_NE(outcome->code, 200);
-  EXPECT_FALSE(is_barred());
-  fleet->reset_tally();
+  EXPECT_FALSE(is_blocked());
+  fleet->reset_call_counters();
   fleet->run(Duration{3000});
-  EXPECT_EQ(fleet->tally().refused, 0);
-  EXPECT_EQ(show(fleet->breaks()), "");
+  EXPECT_EQ(fleet->call_counters().refused, 0);
+  EXPECT_EQ(show(fleet->violations()), "");
 }
 
 TEST(FleetSimulator, AnEditAfterAKilledMasterIsAcknowledgedSoon) {
@@ -381,31 +380,34 @@
   std::string was = fleet->master();
   fleet->kill(was);
   auto outcome = fleet->edit(was == "a1" ? "a2" : "a1", "patch", plans_kind, "check", R"({"horizon_ms":4000})");
-  fleet->run_until([&] { return outcome->is_over; }, Duration{20000});
+  fleet->run_until([&] { return outcome->is_finished; }, Duration{20000});
   EXPECT_EQ(outcome->code, 200) << outcome->body;
-  EXPECT_LT(outcome->over_at - outcome->asked_at, 4000);
-  EXPECT_EQ(show(fleet->breaks()), "");
+  EXPECT_LT(outcome->finished_at - outcome->requested_at, 4000);
+  EXPECT_EQ(show(fleet->violations()), "");
 }
 
 TEST(FleetSimulator, AWrongDiskOnOneCoreMachineDelaysNothing) {
   for (auto disk : {FleetSimulation::Disk::slow, FleetSimulation::Disk::stalled, FleetSimulation::Disk::full}) {
     auto fleet = serving_fleet(19);
     fleet->set_disk("b0", disk);
-    fleet->reset_tally();
+    fleet->reset_call_counters();
     for (int i = 0; i < 5; ++i) {
       auto outcome =
           fleet->edit("a1", "patch", plans_kind, "check", R"({"horizon_ms":)" + std::to_string(3000 + i) + "}");
-      fleet->run_until([&] { return outcome->is_over; }, Duration{9000});
+      fleet->run_until([&] { return outcome->is_finished; }, Duration{9000});
       EXPECT_EQ(outcome->code, 200) << outcome->body;
-      EXPECT_LT(outcome->over_at - outcome->asked_at, 400);
+      EXPECT_LT(outcome->finished_at - outcome->requested_at, 400);
     }
-    EXPECT_GT(fleet->disk_bites(), 0);
-    EXPECT_EQ(fleet->tally().refused_no_grant, 0);
+    EXPECT_GT(fleet->disk_fault_effects(), 0);
+    EXPECT_EQ(fleet->call_counters().refused_no_grant, 0);
     fleet->set_disk("b0", FleetSimulation::Disk::good);
     fleet->run(Duration{3000});
     // It has caught up: with it and one other the register goes on.
     fleet->power_cut("a0");
     EXPECT_TRUE(fleet->edit_until_done("patch", plans_kind, "check", R"({"horizon_ms":4100})", Duration{9000}));
-    EXPECT_EQ(show(fleet->breaks()), "");
+    EXPECT_EQ(show(fleet->violations()), "");
   }
 }
+
+}  // namespace
+}  // namespace emberdale::scenarios
--- a/packages/fleet-simulator/tests/random_scenario_test.cpp
+++ b/packages/fleet-simulator/tests/random_scenario_test.cpp
@@ -1,17 +1,16 @@
 // Random days with every fault of the brief, and each rule's guard taken out to see the day catch it.
 #include <gtest/gtest.h>
 
-#include "emberdale/fleet_simulation.hpp"
-
-using namespace emberdale;
+#include "emberdale/random_scenario.hpp"
 
+namespace emberdale {
 namespace {
 
 std::string show(const FaultInjectionResult& result) {
   std::string text;
-  for (const auto& broken : result.breaks)
-    text += std::to_string(broken.at) + " " + broken.rule + ": " + broken.detail + "\n";
-  return text.empty() ? text : text + result.story;
+  for (const auto& violation : result.violations)
+    text += std::to_string(violation.at) + " " + violation.rule + ": " + violation.detail + "\n";
+  return text.empty() ? text : text + result.event_log;
 }
 
 ScenarioPlan small_scenario() {
@@ -20,19 +19,17 @@
   return plan;
 }
 
-}  // namespace
-
 TEST(RandomScenario, FixedSeedsBreakNoRuleAndEveryFaultBites) {
-  std::map<std::string, std::int64_t> bites;
+  std::map<std::string, std::int64_t> effects;
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
     auto result = run_random_scenario(seed, small_scenario());
     EXPECT_EQ(show(result), "") << "seed " << seed;
-    for (const auto& [fault, number] : result.bites)
-      bites[fault] += number;
+    for (const auto& [fault, number] : result.effects)
+      effects[fault] += number;
   }
   std::size_t felt = 0;
   for (const auto& fault : random_scenario_faults())
-    felt += bites[fault] > 0;
+    felt += effects[fault] > 0;
   EXPECT_GE(felt + 4, random_scenario_faults().size());  // twelve days need not bring about the rarest
 }
 
@@ -99,10 +96,13 @@
       plan.only = plant.only;
       plan.length = plant.length;
       plan.shape.calls_per_second = plant.calls_per_second;
-      plan.plant = plant.act;
-      for (const auto& broken : run_random_scenario(seed, plan).breaks)
-        is_seen = is_seen || broken.rule == plant.rule;
+      plan.inject_defect = plant.act;
+      for (const auto& violation : run_random_scenario(seed, plan).violations)
+        is_seen = is_seen || violation.rule == plant.rule;
     }
     EXPECT_TRUE(is_seen) << plant.what << ": the day did not see that " << plant.rule;
   }
 }
+
+}  // namespace
+}  // namespace emberdale
--- a/packages/fleet-simulator/tests/scale_runs_test.cpp
+++ b/packages/fleet-simulator/tests/scale_runs_test.cpp
@@ -4,9 +4,7 @@
 
 #include "../src/scale_runs.hpp"
 
-using namespace emberdale;
-using namespace emberdale::scale;
-
+namespace emberdale::scale {
 namespace {
 
 // Twelve daemons in peace for ten seconds.
@@ -29,8 +27,6 @@
   return -1;
 }
 
-}  // namespace
-
 TEST(ScaleRuns, CountsAreTheSameAgain) {
   auto once = count_small_fleet({}), again = count_small_fleet({});
   EXPECT_EQ(once.messages, again.messages);
@@ -81,3 +77,6 @@
   ASSERT_TRUE(fleet.bring_up());
   EXPECT_LE(fleet.counts().register_rounds, 40);
 }
+
+}  // namespace
+}  // namespace emberdale::scale
--- a/packages/fleet-simulator/tests/trace_digest_test.cpp
+++ b/packages/fleet-simulator/tests/trace_digest_test.cpp
@@ -3,10 +3,9 @@
 
 #include <gtest/gtest.h>
 
-#include "emberdale/fleet_simulation.hpp"
-
-using namespace emberdale;
+#include "emberdale/random_scenario.hpp"
 
+namespace emberdale {
 namespace {
 
 ScenarioPlan traced_day() {
@@ -23,8 +22,6 @@
   return trace.digest();
 }
 
-}  // namespace
-
 TEST(TraceDigest, DependsOnKindTimeFieldsAndTheirBounds) {
   EXPECT_EQ(digest_of("a0", "record"), digest_of("a0", "record"));
   EXPECT_NE(digest_of("a0", "record"), digest_of("a0", "recorD"));
@@ -58,6 +55,9 @@
   untraced.shape.is_traced = false;
   FaultInjectionResult without = run_random_scenario(3, untraced), with = run_random_scenario(3, traced_day());
   EXPECT_EQ(without.trace_digest, "");
-  EXPECT_EQ(without.story, with.story);
-  EXPECT_EQ(without.tally.asked, with.tally.asked);
+  EXPECT_EQ(without.event_log, with.event_log);
+  EXPECT_EQ(without.calls.arrived, with.calls.arrived);
 }
+
+}  // namespace
+}  // namespace emberdale
