--- a/packages/control-plane/src/control_interface.cpp
+++ b/packages/control-plane/src/control_interface.cpp
@@ -80,7 +80,7 @@
 Json daemon_json(const DaemonEntry& entry) {
   return {{"address", entry.address.text},
           {"http", entry.http_address},
-          {"role", entry.role},
+          {"role", to_string(entry.role)},
           {"zone", entry.zone.text},
           {"region", entry.region.text}};
 }
@@ -176,7 +176,7 @@
         return answer_reason(request, 400, R"(the body must be {"fleet": NAME, "cores": [IP:PORT, ...]})");
       std::vector<Address> cores;
       for (const auto& core : wish["cores"]) {
-        if (!core.is_string() || !split_address(core.get<std::string>()))
+        if (!core.is_string() || !parse_socket_address(core.get<std::string>()).ok())
           return answer_reason(request, 400, "a core address must be IP:PORT");
         cores.push_back({core.get<std::string>()});
       }
@@ -192,7 +192,7 @@
     if (is_path({"v1", "fleet", "replace-core"}) && method == methods::POST) {
       Json wish = Json::parse(body, nullptr, false);
       if (!wish.is_object() || !wish.value("old", Json()).is_string() || !wish.value("new", Json()).is_string() ||
-          !split_address(wish["new"].get<std::string>()))
+          !parse_socket_address(wish["new"].get<std::string>()).ok())
         return answer_reason(request, 400, R"(the body must be {"old": IP:PORT, "new": IP:PORT})");
       return post(
           [this, request, old_core = wish["old"].get<std::string>(), new_core = wish["new"].get<std::string>()] {
@@ -218,11 +218,11 @@
         });
       }
       EditRequest edit_request;
-      edit_request.action = method == methods::PUT     ? "put"
-                            : method == methods::PATCH ? "patch"
-                            : method == methods::DEL   ? "delete"
-                                                       : "";
-      if (edit_request.action.empty() || name.empty())
+      edit_request.action = method == methods::PUT     ? EditAction::put
+                            : method == methods::PATCH ? EditAction::patch
+                            : method == methods::DEL   ? EditAction::remove
+                                                       : EditAction::unspecified;
+      if (edit_request.action == EditAction::unspecified || name.empty())
         return answer_reason(request, 405, "GET, PUT, PATCH or DELETE of one resource, or GET of a list");
       edit_request.kind = kind;
       edit_request.name = name;
@@ -419,7 +419,7 @@
                                       {"pool", row.pool.text},
                                       {"zone", row.zone.text},
                                       {"region", row.region.text},
-                                      {"status", row.status},
+                                      {"status", to_string(row.state)},
                                       {"incarnation", row.incarnation},
                                       {"capacity", row.capacity},
                                       {"burden", row.load},
@@ -460,7 +460,7 @@
                                                {"register_value_bytes", p.value_bytes},
                                                {"register_refused_messages", refused_messages},
                                                {"election_rounds", e.rounds},
-                                               {"election_starved_rounds", e.starved},
+                                               {"election_starved_rounds", e.without_quorum},
                                                {"election_joins_failed", e.joins_failed},
                                                {"election_won", e.elected},
                                                {"election_stepped_down", e.stepped_down},
--- a/packages/fleet-simulator/include/emberdale/invariant_checker.hpp
+++ b/packages/fleet-simulator/include/emberdale/invariant_checker.hpp
@@ -96,7 +96,7 @@
   void check_final_state(std::int64_t now, const FleetState& state);
   // Compares what a data daemon serves by with that state.
   void check_data_daemon(std::int64_t now, const std::string& daemon, const std::map<PlanName, std::int64_t>& plans,
-                         const std::map<RunnerName, std::string>& statuses, const FleetState& state);
+                         const std::map<RunnerName, RunnerState>& states, const FleetState& state);
 
   void report_violation(std::int64_t now, const std::string& rule, const std::string& detail);
   // At most a few of each invariant, in the order in which they were found.
--- a/packages/fleet-simulator/src/invariant_checker.cpp
+++ b/packages/fleet-simulator/src/invariant_checker.cpp
@@ -298,7 +298,7 @@
 
 void InvariantChecker::check_data_daemon(std::int64_t now, const std::string& daemon,
                                          const std::map<PlanName, std::int64_t>& plans,
-                                         const std::map<RunnerName, std::string>& statuses, const FleetState& state) {
+                                         const std::map<RunnerName, RunnerState>& states, const FleetState& state) {
   std::map<PlanName, std::int64_t> wanted;
   for (const auto& resource : state.resources)
     if (resource.kind == plans_kind)
@@ -310,9 +310,10 @@
   std::set<ZoneName> evacuated = evacuated_zones(configuration);
   for (const auto& runner : configuration.runners) {
     bool is_blocked = runner.is_leaving || evacuated.count(runner.zone) != 0;
-    auto held = statuses.find(runner.name);
-    bool has_block = held != statuses.end() && (held->second == "leaving" || held->second == "emptied");
-    if (held == statuses.end() || is_blocked != has_block)
+    auto held = states.find(runner.name);
+    bool has_block =
+        held != states.end() && (held->second == RunnerState::draining || held->second == RunnerState::evacuated);
+    if (held == states.end() || is_blocked != has_block)
       report_violation(now, "a data daemon holds another mark than the register", daemon + " on " + runner.name.text);
   }
 }
--- a/packages/fleet-simulator/src/loopback_daemons.cpp
+++ b/packages/fleet-simulator/src/loopback_daemons.cpp
@@ -1,5 +1,6 @@
 // Loopback daemons: the real state machines and peer connections of many daemons on one thread, without HTTP. They join
 // the fleet of real daemons that a fleet starter has started, and measure what each more daemon costs.
+#include <absl/status/status.h>
 #include <malloc.h>
 #include <time.h>
 #include <unistd.h>
@@ -46,7 +47,7 @@
         context_(context),
         self_(self) {
     std::uint64_t random = stable_hash(self.address.text) ^ static_cast<std::uint64_t>(self.incarnation);
-    if (self.role == "data") {
+    if (self.role == DaemonRole::data) {
       data_ = std::make_unique<DataDaemon>(self, seeds, random);
     } else {
       ControlDaemonSettings settings;
@@ -63,17 +64,18 @@
       flush();
     };
   }
-  Outcome<bool> start() {
-    auto listens = connections_.listen();
-    if (!listens)
-      return listens;
+  // Fails if the address can't be listened at.
+  absl::Status start() {
+    absl::Status listening = connections_.listen();
+    if (!listening.ok())
+      return listening;
     if (control_)
       control_->start(steady_now());
     else
       data_->start(steady_now());
     flush();
     tick();
-    return true;
+    return absl::OkStatus();
   }
   const ConnectionCounts& counts() const { return connections_.counts(); }
   bool is_granted() const {
@@ -216,7 +218,7 @@
   std::string zone(1, static_cast<char>('a' + number % 3));
   return {Address{address},
           "127.0.0.1:1",
-          is_edge ? "edge" : "data",
+          is_edge ? DaemonRole::edge : DaemonRole::data,
           ZoneName{zone},
           RegionName{zone == "c" ? "south" : "north"},
           steady_now().value};
@@ -229,9 +231,9 @@
   for (int i = 0; i < edges + gateways; ++i) {
     DaemonEntry self = entry_of(i, i < edges, addresses[static_cast<std::size_t>(i)]);
     daemons.push_back(std::make_unique<LoopbackDaemon>(context, self, seeds));
-    auto started = daemons.back()->start();
-    if (!started) {
-      std::cerr << started.reason << "\n";
+    absl::Status started = daemons.back()->start();
+    if (!started.ok()) {
+      std::cerr << started.message() << "\n";
       return false;
     }
   }
--- a/packages/fleet-simulator/tests/invariant_checker_test.cpp
+++ b/packages/fleet-simulator/tests/invariant_checker_test.cpp
@@ -215,7 +215,7 @@
      }},
     {"a data daemon holds another mark than the register",
      [](InvariantChecker& w, bool broken) {
-       w.check_data_daemon(1, "d", {}, {{RunnerName{"m1"}, broken ? "warm" : "leaving"}},
+       w.check_data_daemon(1, "d", {}, {{RunnerName{"m1"}, broken ? RunnerState::warm : RunnerState::draining}},
                            state_of(9, 2, {leaving_runner}));
      }},
 };
--- a/packages/model-checker/src/register_world_choices.cpp
+++ b/packages/model-checker/src/register_world_choices.cpp
@@ -137,7 +137,7 @@
   node.read_floor = 0;
   for (const auto& acknowledged : history_->acknowledged)
     node.read_floor = std::max(node.read_floor, acknowledged.version);
-  node.machine.poll(node.clock, "core", false);
+  node.machine.poll(node.clock, DaemonRole::core, false);
   after_proposer(proposer);
 }
 
