--- a/packages/call-matching/include/emberdale/call_dispatcher.hpp
+++ b/packages/call-matching/include/emberdale/call_dispatcher.hpp
@@ -1,5 +1,5 @@
-// The stages of a call that need no I/O: gate, match, pending, retry, end.
-// Deterministic: the daemon and the simulator run the same dispatcher.
+// The stages of a call that need no I/O: admission, endpoint selection, queueing, retry and the end.
+// Deterministic, without I/O, clock or threads: the daemon and the simulator run the same dispatcher.
 #pragma once
 #include <absl/container/flat_hash_map.h>
 
@@ -12,27 +12,29 @@
 
 #include "emberdale/lease_manager.hpp"
 #include "emberdale/pool.hpp"
+#include "emberdale/retry_budget.hpp"
 #include "emberdale/routing_view.hpp"
 
 namespace emberdale {
 
 using CallIndex = std::int64_t;
 
+// A call as the client sent it, as far as serving plans depend on it.
 struct ArrivingCall {
   CallId id;
   std::string method, path;
   std::map<std::string, std::string> headers;  // lower-case names
-  std::string prefix;                          // the start of the body, as long as any plan asks
+  std::string prefix;                          // the start of the body, as long as any plan needs it
   std::int64_t body_bytes = 0;
   Duration deadline{0};  // 0: as the plan says
 };
 
 // Send this call to that runner now.
-struct SendAct {
+struct CallAttempt {
   CallIndex call = 0;
   CallId id;
   RunnerName runner;
-  std::string http, path, method, seal_key;
+  std::string http_address, path, method, seal_key;
   std::int64_t incarnation = 0;
   bool is_repeatable = false, is_streaming = false;
   TimePoint deadline;
@@ -40,29 +42,29 @@
   std::int64_t config_revision = 0;  // of the plan it is sent by
 };
 
-// The final answer to the caller, when no runner gives it.
-struct FinalAct {
-  CallIndex call = 0;  // 0: refused at the gate, never taken in
+// The response that the daemon itself gives to the client, when no runner does.
+struct FinalResponse {
+  CallIndex call = 0;  // 0: refused by admission, never opened
   int code = 503;
   std::string reason;
   bool may_have_run = false;       // false: it surely did not run and never will
-  Duration retry_after{0};         // 0: asking again is of no use
-  std::vector<std::string> homes;  // 421: where the call belongs
+  Duration retry_after{0};         // 0: a retry is of no use
+  std::vector<std::string> homes;  // 421: addresses in the call's home region
 };
 
-enum class SendEndKind {
-  answered,     // complete, sealed, handed over
-  refused,      // the runner refused it before running it
-  unsent,       // the link never came up: nothing left this daemon
-  lost,         // sent, and no sound answer came back
-  caller_gone,  // the caller left; the send was given up
+enum class AttemptOutcome {
+  completed,            // whole, sealed, forwarded to the client
+  refused,              // the runner refused it before running it
+  not_sent,             // the connection never came up: nothing left this daemon
+  lost,                 // sent, and no valid response came back
+  caller_disconnected,  // the client left; the attempt was cancelled
 };
 
-struct SendEnd {
+struct AttemptResult {
   CallIndex call = 0;
-  SendEndKind kind = SendEndKind::lost;
+  AttemptOutcome outcome = AttemptOutcome::lost;
   std::string reason;
-  bool has_report = false;  // the runner told its load along
+  bool has_report = false;  // the runner reported its load
   std::int64_t incarnation = 0, load = 0, capacity = 0;
   bool is_warming_up = false;
 };
@@ -70,41 +72,49 @@
 struct DispatcherSettings {
   Address self;
   RegionName region;
-  std::size_t queue_bound = 128;    // per plan
-  Duration queue_patience{600};     // no call waits longer for a free runner, or for the grant
-  int admission_step = 2;           // of those that waited for the grant, so many are let in...
-  Duration admission_interval{25};  // ...in each of these
-  Duration grant_hope{1000};        // so long after start or wake the grant is waited for
-  double retry_share = 0.12;        // retries earned by each first send
-  double retry_start = 2, retry_bound = 5;
+  std::size_t queue_bound = 128;            // per plan
+  Duration queue_timeout{600};              // no call waits longer for a free runner, or for the grant
+  int admission_step = 2;                   // of the calls that waited for the grant, so many are admitted...
+  Duration admission_interval{25};          // ...in each of these
+  Duration grant_wait_timeout{1000};        // so long after start or resumption calls wait for the grant
+  double retry_share = 0.12;                // retries earned by each first attempt
+  double retry_start = 2, retry_bound = 5;  // retries at the start, and saved up at most
 };
 
-// Example:
-//   CallDispatcher dispatcher(settings); dispatcher.see(view, now); dispatcher.set_grant(grant);
-//   auto refusal = dispatcher.arrive(call, now, index);      // refused at once, or taken in
-//   for (auto& act : dispatcher.take_sends()) send(act);     // checked against the grant this instant
-//   dispatcher.end_send(end, now); dispatcher.on_timer(now); for (auto& act : dispatcher.take_finals()) answer(act);
+// Use:
+//   CallDispatcher dispatcher(settings); dispatcher.update_view(view, now); dispatcher.set_grant(grant);
+//   auto refusal = dispatcher.admit(call, now, index);  // refused at once, or open from here on
+//   for (auto& attempt : dispatcher.drain_attempts()) send(attempt);  // checked against the grant this instant
+//   for (auto& response : dispatcher.drain_final_responses()) respond(response);
+//   dispatcher.on_attempt_finished(result, now); dispatcher.on_timer(now);
 class CallDispatcher {
  public:
   explicit CallDispatcher(DispatcherSettings settings)
-      : settings_(std::move(settings)), retry_tokens_(settings_.retry_start) {}
+      : settings_(std::move(settings)),
+        retry_budget_({settings_.retry_share, settings_.retry_start, settings_.retry_bound}) {}
 
-  void see(std::shared_ptr<const RoutingView> view, TimePoint now);
+  // Takes the newest snapshot of the routing state; queued calls may be sent by it.
+  void update_view(std::shared_ptr<const RoutingView> view, TimePoint now);
   void set_grant(const Grant& grant) { grant_ = grant; }
-  // Stop taking calls: what is in hand is finished. Example: dispatcher.close();
+  // Admits no more calls; the open ones are finished.
   void close() { is_closed_ = true; }
 
-  std::optional<FinalAct> admit(const ArrivingCall& call, TimePoint now, CallIndex index);
-  void first_piece(CallIndex index);  // from here on no other runner may continue the call
-  void on_attempt_finished(const SendEnd& end, TimePoint now);
-  void caller_gone(CallIndex index, TimePoint now);
+  // Admits a call under an index of the caller's choice, or gives the response that refuses it.
+  std::optional<FinalResponse> admit(const ArrivingCall& call, TimePoint now, CallIndex index);
+  // The first event of a stream has gone to the client: from here on no other runner may continue the call.
+  void on_stream_event(CallIndex index);
+  void on_attempt_finished(const AttemptResult& result, TimePoint now);
+  // The client left: a queued call is forgotten; an attempt in flight ends on its own.
+  void on_caller_disconnected(CallIndex index, TimePoint now);
   void on_timer(TimePoint now);
 
-  std::vector<SendAct> take_sends();
-  std::vector<FinalAct> take_finals();
-  std::size_t in_hand() const { return calls_.size() + ungated_.size(); }
+  std::vector<CallAttempt> drain_attempts();
+  // Their calls are no longer open.
+  std::vector<FinalResponse> drain_final_responses();
+  std::size_t open_calls() const { return calls_.size() + awaiting_grant_.size(); }
+  // True while the grant covers the view; nothing is sent without it.
   bool is_granted(TimePoint now) const;
-  // How many bytes of the body the gate wants as prefix. Example: dispatcher.widest_prefix()
+  // How many bytes of the body admission wants as prefix.
   std::int64_t widest_prefix() const;
 
   struct Counts {
@@ -115,50 +125,82 @@
   const Counts& counts() const { return counts_; }
 
  private:
+  // An open call: queued, or with one attempt in flight.
   struct Call {
-    ListHook hook;  // in the pending list of its plan
+    ListHook hook;  // in the queue of its plan
     CallIndex index = 0;
     CallId id;
     PlanName plan;
     std::string method, path;
-    RegionName home;  // empty: free
-    std::string key;  // affinity
+    RegionName home;           // empty: free
+    std::string affinity_key;  // calls with equal keys prefer the same runner
     TimePoint deadline, queued_until;
     RunnerName runner;
     std::vector<RunnerName> tried;
-    bool is_queued = false, is_spilled = false, is_retry = false, has_piece = false;
+    bool is_queued = false, is_spilled = false, is_retry = false, has_event = false;
   };
-  struct EndpointState {  // what this daemon itself knows of one runner
+  // What this daemon itself knows of one runner.
+  struct EndpointState {
     std::int64_t in_flight = 0;
-    std::int64_t reported_load = 0, own_at_report = 0, capacity = 0;
+    std::int64_t reported_load = 0, in_flight_at_report = 0, capacity = 0;
     std::int64_t incarnation = 0;
     bool has_report = false;
-    MapVersion shunned_at;     // not used until the map moves past this version...
-    TimePoint shunned_until;   // ...or this moment is past
-    bool is_reachable = true;  // false: no link came up; else it is the last resort while shunned
+    MapVersion ejected_at_version;  // not used until the map moves past this version...
+    TimePoint ejected_until;        // ...or this moment is past
+    bool is_reachable = true;       // false: no connection came up; else it is the last resort while ejected
   };
-  // A call that came while the grant was being asked for.
-  struct Ungated {
+  // A call that arrived while the grant was being requested.
+  struct CallAwaitingGrant {
     ArrivingCall call;
     CallIndex index = 0;
     TimePoint since, until;
   };
-  bool may_hope(TimePoint now);
-  std::optional<FinalAct> admission(const ArrivingCall& call, TimePoint arrived, TimePoint now, CallIndex index);
-  void open_admission(TimePoint now);
-  const ServingPlan* plan_of(const Call& call) const;
-  std::optional<RunnerName> pick_endpoint(const Call& call, const ServingPlan& plan, TimePoint now,
-                                          bool& is_spill) const;
-  std::optional<RunnerName> match_in(const Call& call, const ServingPlan& plan, const RegionName& region, TimePoint now,
-                                     bool is_last_resort) const;
+  // Attempts of one plan.
+  struct PlanLoad {
+    std::int64_t in_flight = 0;
+    std::int64_t spilled = 0;  // of them, in other regions
+  };
+  // A runner that may take a call now.
+  struct Candidate {
+    const RunnerRow* row;
+    std::int64_t load, limit;
+  };
+
+  // Admission and the queues: call_admission.cpp
+  bool may_await_grant(TimePoint now);
+  void admit_awaiting_grant(TimePoint now);
+  std::optional<FinalResponse> admit_granted(const ArrivingCall& call, TimePoint arrived, TimePoint now,
+                                             CallIndex index);
+  std::optional<FinalResponse> find_home(const ArrivingCall& call, const ServingPlan& plan, RegionName& home);
+  std::optional<FinalResponse> send_or_enqueue(PoolIndex at, TimePoint now);
+  FinalResponse misdirected(const RegionName& home);
+  void enqueue(PoolIndex at);
+  void dispatch_queued(TimePoint now);
+  std::optional<FinalResponse> end_of_queueing(const Call& call, TimePoint now);
+  void refuse_expired(TimePoint now);
+
+  // Endpoint selection: call_endpoint_selection.cpp
+  std::optional<RunnerName> select_endpoint(const Call& call, const ServingPlan& plan, TimePoint now,
+                                            bool& is_spill) const;
+  std::optional<RunnerName> select_in_region(const Call& call, const ServingPlan& plan, const RegionName& region,
+                                             TimePoint now, bool is_last_resort) const;
+  std::optional<Candidate> candidate_of(const Call& call, const RunnerRow& row, TimePoint now,
+                                        bool is_last_resort) const;
+  bool may_spill_now(const ServingPlan& plan) const;
   std::int64_t load_of(const RunnerRow& row, const EndpointState& endpoint) const;
-  std::int64_t bound_of(const RunnerRow& row, TimePoint now) const;
+  std::int64_t load_limit(const RunnerRow& row, TimePoint now) const;
+
+  // Attempts and their ends: call_dispatcher.cpp
+  const ServingPlan* plan_of(const Call& call) const;
   bool try_send(Call& call, TimePoint now);
-  void pend(PoolIndex at);
+  void release_endpoint(const Call& call, const AttemptResult& result);
+  void eject_if_failed(const Call& call, const AttemptResult& result, TimePoint now);
+  void eject(EndpointState& endpoint, TimePoint now);
+  void retry_or_finish(PoolIndex at, const AttemptResult& result, TimePoint now);
+  bool retry(PoolIndex at, TimePoint now);
   void forget(PoolIndex at);
-  void finish(CallIndex index, FinalAct act);
-  void dispatch_queued(TimePoint now);
-  FinalAct refusal(CallIndex index, const std::string& reason, Duration retry_after);
+  void finish(CallIndex index, FinalResponse response);
+  FinalResponse refusal(CallIndex index, const std::string& reason, Duration retry_after) const;
 
   DispatcherSettings settings_;
   std::shared_ptr<const RoutingView> view_ = std::make_shared<RoutingView>();
@@ -166,15 +208,15 @@
   bool is_closed_ = false;
   Pool<Call> pool_;
   absl::flat_hash_map<CallIndex, PoolIndex> calls_;
-  std::map<PlanName, IntrusiveList<Call>> queue_;
+  std::map<PlanName, IntrusiveList<Call>> queues_;
   std::map<RunnerName, EndpointState> endpoints_;
-  std::map<PlanName, std::pair<std::int64_t, std::int64_t>> in_flight_;  // all, spilled
-  std::deque<Ungated> ungated_;
+  std::map<PlanName, PlanLoad> plan_loads_;
+  std::deque<CallAwaitingGrant> awaiting_grant_;
   TimePoint admission_next_;
-  std::optional<TimePoint> lacking_since_, last_timer_;
-  double retry_tokens_;
-  std::vector<SendAct> sends_;
-  std::vector<FinalAct> finals_;
+  std::optional<TimePoint> without_grant_since_, last_timer_at_;
+  RetryBudget retry_budget_;
+  std::vector<CallAttempt> attempts_;
+  std::vector<FinalResponse> final_responses_;
   Counts counts_;
 };
 
--- a/packages/call-matching/include/emberdale/lease_manager.hpp
+++ b/packages/call-matching/include/emberdale/lease_manager.hpp
@@ -1,4 +1,5 @@
 // The grant under which a data daemon may send: proof by a register majority that its map is current.
+// Without I/O, clock or threads.
 #pragma once
 #include <map>
 #include <optional>
@@ -11,57 +12,63 @@
 
 namespace emberdale {
 
-// What the traffic thread checks at the gate and again at the moment of send.
+// A lease to serve; the dispatcher checks it at admission and again when it sends.
 struct Grant {
   TimePoint until{-1};
-  MapVersion minimum_version;
-  TimePoint warming_up_until{INT64_MAX};  // until then its shares of cold runners may be used
+  MapVersion minimum_version;             // an older map must not be served by
+  TimePoint warming_up_until{INT64_MAX};  // until then slow-start quotas may be used
 };
 
-// Example:
-//   LeaseManager keeper; keeper.learn_acceptors(acceptors); keeper.ask(now);   // every 500 ms
-//   keeper.on_response(from, answer, my_version, now); keeper.grant().until > now
+// Requests the register's minimum version, and the leader lease of the master while the register is silent; either
+// extends the grant. A grant counts from before its request was sent, on this daemon's steady clock.
+//
+// Use:
+//   manager.learn_acceptors(acceptors); manager.request_lease(now, master);  // every 500 ms
+//   manager.on_response(response, own_version, now); if (now < manager.grant().until) serve();
 class LeaseManager {
  public:
-  // Asks are numbered from there. Example: LeaseManager keeper(first_request_id(random generator));
+  // Requests are numbered from there: see first_request_id.
   explicit LeaseManager(std::int64_t first = 0) : last_request_id_(first) {}
+  // The replicas of the register, from discovery; ignored once a replica has named them.
   void learn_acceptors(const std::vector<AcceptorEntry>& acceptors);
-  // Asks the master as well while the register has not answered for a while.
-  void ask(TimePoint now, const Address& master = {});
-  void on_lease_grant(const LeaseGrant& lease_grant, const MapVersion& mine);
-  // The time of the grant counts from before the ask, on the steady clock.
-  void on_response(const ReadResponse& response, const MapVersion& mine, TimePoint now);
-  // A newer map may be all that was missing. Example: keeper.on_version(mine)
-  void on_version(const MapVersion& mine);
+  // Sends requests to the register, and to the master if the register has not responded for a while.
+  void request_lease(TimePoint now, const Address& master = {});
+  // The leader lease counts for maps of its own term alone: of a newer one it knows nothing.
+  void on_lease_grant(const LeaseGrant& lease_grant, const MapVersion& own_version);
+  void on_response(const ReadResponse& response, const MapVersion& own_version, TimePoint now);
+  // This daemon's map has moved on; that may be all that a majority's proof lacked.
+  void on_version(const MapVersion& own_version);
   const Grant& grant() const { return grant_; }
   void set_warming_up_until(TimePoint until) { grant_.warming_up_until = until; }
   std::vector<OutboundMessage> drain_outbound();
   // Since when a register majority shows a minimum version above this daemon's map; nothing if it shows none.
-  // Example: if (auto since = keeper.behind_since()) look_for_another_home();
-  const std::optional<TimePoint>& behind_since() const { return behind_since_; }
+  const std::optional<TimePoint>& outdated_since() const { return outdated_since_; }
+  // Proofs by the register that extended the grant, proofs for which the map was too old, and leader leases used.
   std::int64_t renewed() const { return renewed_; }
   std::int64_t behind() const { return behind_; }
   std::int64_t lease_granted() const { return lease_granted_; }
 
  private:
-  struct Asked {
-    std::int64_t ask = 0;
-    TimePoint begun;
-    std::set<StoreId> answered;
+  // One request to all replicas, and what they responded.
+  struct PendingRead {
+    TimePoint sent_at;
+    std::set<StoreId> responded;
     Ballot highest;
-    std::vector<AcceptorEntry> acceptors, next;
+    std::vector<AcceptorEntry> acceptors, next_acceptors;  // as the highest ballot names them
     MapVersion minimum_version;
     bool is_proven = false;
   };
-  void settle(Asked& asked, const MapVersion& mine);
+  void drop_expired_reads(TimePoint now);
+  void evaluate(PendingRead& read, const MapVersion& own_version);
+  void extend_grant(TimePoint sent_at, const MapVersion& minimum_version);
 
-  std::vector<AcceptorEntry> acceptors_, next_;
-  std::map<std::int64_t, Asked> asked_;  // the last few, so a slow answer still counts
+  std::vector<AcceptorEntry> acceptors_, next_acceptors_;
+  std::map<std::int64_t, PendingRead> pending_reads_;  // by request id; several, so that a slow response still counts
   std::int64_t last_request_id_;
   Grant grant_;
-  std::vector<OutboundMessage> out_;
+  std::vector<OutboundMessage> outbound_;
   std::int64_t renewed_ = 0, behind_ = 0, lease_granted_ = 0;
-  std::optional<TimePoint> behind_since_;
+  std::optional<TimePoint> outdated_since_;
 };
 
 }  // namespace emberdale
--- a/packages/call-matching/src/lease_manager.cpp
+++ b/packages/call-matching/src/lease_manager.cpp
@@ -3,87 +3,99 @@
 #include "emberdale/register_proposer.hpp"
 
 namespace emberdale {
+namespace {
+
+constexpr std::size_t max_pending_reads = 32;
+constexpr Duration register_silence{700};  // without a renewal for so long the master is asked as well
+constexpr const char* requester_role = "data";
+
+}  // namespace
 
 void LeaseManager::learn_acceptors(const std::vector<AcceptorEntry>& acceptors) {
   if (acceptors_.empty())
     acceptors_ = acceptors;
 }
 
-void LeaseManager::ask(TimePoint now, const Address& master) {
-  std::int64_t ask = ++last_request_id_;
-  asked_[ask] = Asked{};
-  asked_[ask].ask = ask;
-  asked_[ask].begun = now;
-  // An answer that comes later than the grant would last is of no use.
-  while (asked_.size() > 32 || asked_.begin()->second.begun + grant_length <= now)
-    asked_.erase(asked_.begin());
-  std::set<Address> places;
+// A response that comes later than the grant would last is of no use.
+void LeaseManager::drop_expired_reads(TimePoint now) {
+  while (pending_reads_.size() > max_pending_reads || pending_reads_.begin()->second.sent_at + grant_length <= now)
+    pending_reads_.erase(pending_reads_.begin());
+}
+
+void LeaseManager::request_lease(TimePoint now, const Address& master) {
+  std::int64_t request_id = ++last_request_id_;
+  pending_reads_[request_id] = PendingRead{};
+  pending_reads_[request_id].sent_at = now;
+  drop_expired_reads(now);
+  std::set<Address> replicas;
   for (const auto& entry : acceptors_)
-    places.insert(entry.address);
-  for (const auto& entry : next_)
-    places.insert(entry.address);
-  for (const auto& place : places)
-    out_.push_back({place, ReadRequest{ask, "data", Ballot{}, false, false}});
-  bool is_register_silent = grant_.until - now < Duration{grant_length.value - 700};
+    replicas.insert(entry.address);
+  for (const auto& entry : next_acceptors_)
+    replicas.insert(entry.address);
+  for (const auto& replica : replicas)
+    outbound_.push_back({replica, ReadRequest{request_id, requester_role, Ballot{}, false, false}});
+  bool is_register_silent = grant_.until - now < Duration{grant_length.value - register_silence.value};
   if (is_register_silent && !master.empty())
-    out_.push_back({master, LeaseRequest{ask}});
+    outbound_.push_back({master, LeaseRequest{request_id}});
 }
 
-// The leader lease counts for maps of its own term alone: of a newer one it knows nothing.
-void LeaseManager::on_lease_grant(const LeaseGrant& lease_grant, const MapVersion& mine) {
-  auto entry = asked_.find(lease_grant.request_id);
-  if (entry == asked_.end() || mine.term != lease_grant.minimum_version.term || mine < lease_grant.minimum_version)
-    return;
-  ++lease_granted_;
-  TimePoint until = entry->second.begun + grant_length;
+void LeaseManager::extend_grant(TimePoint sent_at, const MapVersion& minimum_version) {
+  TimePoint until = sent_at + grant_length;
   if (grant_.until < until)
     grant_.until = until;
-  if (grant_.minimum_version < lease_grant.minimum_version)
-    grant_.minimum_version = lease_grant.minimum_version;
+  if (grant_.minimum_version < minimum_version)
+    grant_.minimum_version = minimum_version;
 }
 
-void LeaseManager::on_response(const ReadResponse& response, const MapVersion& mine, TimePoint) {
-  auto entry = asked_.find(response.request_id);
-  if (entry == asked_.end() || response.blank)
+void LeaseManager::on_lease_grant(const LeaseGrant& lease_grant, const MapVersion& own_version) {
+  auto entry = pending_reads_.find(lease_grant.request_id);
+  if (entry == pending_reads_.end())
+    return;
+  const MapVersion& minimum_version = lease_grant.minimum_version;
+  if (own_version.term != minimum_version.term || own_version < minimum_version)
     return;
-  Asked& asked = entry->second;
-  asked.answered.insert(response.store);
-  if (asked.minimum_version < response.minimum_version)
-    asked.minimum_version = response.minimum_version;
-  if (asked.highest < response.accepted) {
-    asked.highest = response.accepted;
-    asked.acceptors = response.acceptors;
-    asked.next = response.next_acceptors;
+  ++lease_granted_;
+  extend_grant(entry->second.sent_at, minimum_version);
+}
+
+void LeaseManager::on_response(const ReadResponse& response, const MapVersion& own_version, TimePoint) {
+  auto entry = pending_reads_.find(response.request_id);
+  if (entry == pending_reads_.end() || response.blank)
+    return;
+  PendingRead& read = entry->second;
+  read.responded.insert(response.store);
+  if (read.minimum_version < response.minimum_version)
+    read.minimum_version = response.minimum_version;
+  if (read.highest < response.accepted) {
+    read.highest = response.accepted;
+    read.acceptors = response.acceptors;
+    read.next_acceptors = response.next_acceptors;
     acceptors_ = response.acceptors;
-    next_ = response.next_acceptors;
+    next_acceptors_ = response.next_acceptors;
   }
-  settle(asked, mine);
+  evaluate(read, own_version);
 }
 
-void LeaseManager::settle(Asked& asked, const MapVersion& mine) {
-  if (asked.is_proven || !has_majority(asked.acceptors, asked.next, asked.answered))
+void LeaseManager::evaluate(PendingRead& read, const MapVersion& own_version) {
+  if (read.is_proven || !has_majority(read.acceptors, read.next_acceptors, read.responded))
     return;
-  if (mine < asked.minimum_version || asked.minimum_version == MapVersion{}) {
+  if (own_version < read.minimum_version || read.minimum_version == MapVersion{}) {
     ++behind_;
-    if (!behind_since_ && mine < asked.minimum_version)
-      behind_since_ = asked.begun;
+    if (!outdated_since_ && own_version < read.minimum_version)
+      outdated_since_ = read.sent_at;
     return;
   }
-  asked.is_proven = true;
-  behind_since_.reset();
+  read.is_proven = true;
+  outdated_since_.reset();
   ++renewed_;
-  TimePoint until = asked.begun + grant_length;
-  if (grant_.until < until)
-    grant_.until = until;
-  if (grant_.minimum_version < asked.minimum_version)
-    grant_.minimum_version = asked.minimum_version;
+  extend_grant(read.sent_at, read.minimum_version);
 }
 
-void LeaseManager::on_version(const MapVersion& mine) {
-  for (auto& [ask, asked] : asked_)
-    settle(asked, mine);
+void LeaseManager::on_version(const MapVersion& own_version) {
+  for (auto& [request_id, read] : pending_reads_)
+    evaluate(read, own_version);
 }
 
-std::vector<OutboundMessage> LeaseManager::drain_outbound() { return std::exchange(out_, {}); }
+std::vector<OutboundMessage> LeaseManager::drain_outbound() { return std::exchange(outbound_, {}); }
 
 }  // namespace emberdale
--- a/packages/call-matching/tests/call_dispatcher_digest_test.cpp
+++ b/packages/call-matching/tests/call_dispatcher_digest_test.cpp
@@ -58,11 +58,11 @@
     if (drawn < 34)
       admit_call();
     else if (drawn < 38)
-      dispatcher_.first_piece(pick_attempt());
+      dispatcher_.on_stream_event(pick_attempt());
     else if (drawn < 70)
       finish_attempt();
     else if (drawn < 74)
-      dispatcher_.caller_gone(last_call_ - random_.below(20), now_);
+      dispatcher_.on_caller_disconnected(last_call_ - random_.below(20), now_);
     else if (drawn < 80)
       publish_view();
     else if (drawn < 84)
@@ -91,23 +91,24 @@
 
   // An attempt that is open or was open lately; reports for attempts that have ended must change nothing.
   CallIndex pick_attempt() {
-    if (attempts_.empty())
+    if (known_attempts_.empty())
       return 0;
-    auto recent = std::min<std::int64_t>(24, static_cast<std::int64_t>(attempts_.size()));
-    return attempts_[attempts_.size() - 1 - static_cast<std::size_t>(random_.below(recent))];
+    auto recent = std::min<std::int64_t>(24, static_cast<std::int64_t>(known_attempts_.size()));
+    return known_attempts_[known_attempts_.size() - 1 - static_cast<std::size_t>(random_.below(recent))];
   }
 
   void finish_attempt() {
-    static constexpr SendEndKind kinds[] = {SendEndKind::answered, SendEndKind::answered,   SendEndKind::answered,
-                                            SendEndKind::refused,  SendEndKind::unsent,     SendEndKind::lost,
-                                            SendEndKind::lost,     SendEndKind::caller_gone};
+    static constexpr AttemptOutcome kinds[] = {AttemptOutcome::completed, AttemptOutcome::completed,
+                                               AttemptOutcome::completed, AttemptOutcome::refused,
+                                               AttemptOutcome::not_sent,  AttemptOutcome::lost,
+                                               AttemptOutcome::lost,      AttemptOutcome::caller_disconnected};
     static const std::vector<std::string> reasons{"no link", "link broke", "full", "draining"};
     auto position = open_.find(pick_attempt());
     if (position == open_.end())
       return;
-    SendEnd end;
+    AttemptResult end;
     end.call = *position;
-    end.kind = kinds[random_.below(8)];
+    end.outcome = kinds[random_.below(8)];
     end.reason = pick(reasons);
     end.has_report = random_.chance(0.5);
     end.incarnation = 1 + random_.below(3);
@@ -142,7 +143,7 @@
       region.region = row.region;
       region.capacity += row.status == "warm" ? row.capacity : 0;
     }
-    dispatcher_.see(view, now_);
+    dispatcher_.update_view(view, now_);
   }
 
   std::vector<ServingPlan> random_plans() {
@@ -202,21 +203,21 @@
   }
 
   void record_actions() {
-    for (const auto& send : dispatcher_.take_sends()) {
-      trace_ << "send " << send.call << " " << send.id.text << " " << send.runner.text << " " << send.http << " "
-             << send.path << " " << send.method << " " << send.seal_key << " " << send.incarnation << " "
+    for (const auto& send : dispatcher_.drain_attempts()) {
+      trace_ << "send " << send.call << " " << send.id.text << " " << send.runner.text << " " << send.http_address
+             << " " << send.path << " " << send.method << " " << send.seal_key << " " << send.incarnation << " "
              << send.is_repeatable << send.is_streaming << send.is_retry << " " << (send.deadline - now_).value << " "
              << send.config_revision << "\n";
-      attempts_.push_back(send.call);
+      known_attempts_.push_back(send.call);
       open_.insert(send.call);
     }
-    for (const auto& act : dispatcher_.take_finals())
+    for (const auto& act : dispatcher_.drain_final_responses())
       record_final("final", act);
-    trace_ << dispatcher_.in_hand() << " " << dispatcher_.is_granted(now_) << " " << dispatcher_.widest_prefix()
+    trace_ << dispatcher_.open_calls() << " " << dispatcher_.is_granted(now_) << " " << dispatcher_.widest_prefix()
            << "\n";
   }
 
-  void record_final(const char* event, const FinalAct& act) {
+  void record_final(const char* event, const FinalResponse& act) {
     trace_ << event << " " << act.call << " " << act.code << " '" << act.reason << "' " << act.may_have_run << " "
            << act.retry_after.value;
     for (const auto& home : act.homes)
@@ -242,7 +243,7 @@
   CallDispatcher dispatcher_;
   TimePoint now_{100000};
   std::map<RunnerName, RunnerRow> runners_;
-  std::vector<CallIndex> attempts_;
+  std::vector<CallIndex> known_attempts_;
   std::set<CallIndex> open_;
   CallIndex last_call_ = 0;
   std::int64_t last_version_ = 0;
--- a/packages/call-matching/tests/call_matching_test.cpp
+++ b/packages/call-matching/tests/call_matching_test.cpp
@@ -64,38 +64,38 @@
 }  // namespace
 
 TEST(LeaseManager, CountsFromBeforeTheAskAndNeedsAMajorityThatShowsNoNewerFloor) {
-  LeaseManager keeper;
-  keeper.learn_acceptors(cores);
-  keeper.ask(TimePoint{100});
-  EXPECT_EQ(keeper.drain_outbound().size(), 3u);
-  keeper.on_response(answer(1, "s1", {1, 4}), {1, 4}, TimePoint{900});
-  keeper.on_response(answer(1, "s1", {1, 4}), {1, 4}, TimePoint{900});  // the same copy twice is one
-  EXPECT_LT(keeper.grant().until.value, 0);
-  keeper.on_response(answer(1, "s2", {1, 4}), {1, 4}, TimePoint{1500});
-  EXPECT_EQ(keeper.grant().until.value, 100 + grant_length.value);
+  LeaseManager manager;
+  manager.learn_acceptors(cores);
+  manager.request_lease(TimePoint{100});
+  EXPECT_EQ(manager.drain_outbound().size(), 3u);
+  manager.on_response(answer(1, "s1", {1, 4}), {1, 4}, TimePoint{900});
+  manager.on_response(answer(1, "s1", {1, 4}), {1, 4}, TimePoint{900});  // the same copy twice is one
+  EXPECT_LT(manager.grant().until.value, 0);
+  manager.on_response(answer(1, "s2", {1, 4}), {1, 4}, TimePoint{1500});
+  EXPECT_EQ(manager.grant().until.value, 100 + grant_length.value);
   // One copy of the majority shows a newer minimum version: no grant for the old map ...
-  keeper.ask(TimePoint{2000});
-  keeper.on_response(answer(2, "s1", {1, 4}), {1, 4}, TimePoint{2010});
-  keeper.on_response(answer(2, "s3", {1, 5}, 6), {1, 4}, TimePoint{2020});
-  EXPECT_EQ(keeper.grant().until.value, 100 + grant_length.value);
+  manager.request_lease(TimePoint{2000});
+  manager.on_response(answer(2, "s1", {1, 4}), {1, 4}, TimePoint{2010});
+  manager.on_response(answer(2, "s3", {1, 5}, 6), {1, 4}, TimePoint{2020});
+  EXPECT_EQ(manager.grant().until.value, 100 + grant_length.value);
   // ... until the newer map is here; the time still counts from before the ask.
-  keeper.on_version({1, 5});
-  EXPECT_EQ(keeper.grant().until.value, 2000 + grant_length.value);
-  EXPECT_EQ(keeper.grant().minimum_version, (MapVersion{1, 5}));
+  manager.on_version({1, 5});
+  EXPECT_EQ(manager.grant().until.value, 2000 + grant_length.value);
+  EXPECT_EQ(manager.grant().minimum_version, (MapVersion{1, 5}));
 }
 
 TEST(LeaseManager, AStoreThatIsNotOfTheSetGivesNoProof) {
-  LeaseManager keeper;
-  keeper.learn_acceptors(cores);
-  keeper.ask(TimePoint{100});
-  keeper.on_response(answer(1, "s1", {1, 4}), {1, 4}, TimePoint{110});
-  keeper.on_response(answer(1, "wiped", {1, 4}), {1, 4}, TimePoint{110});
-  EXPECT_LT(keeper.grant().until.value, 0);
+  LeaseManager manager;
+  manager.learn_acceptors(cores);
+  manager.request_lease(TimePoint{100});
+  manager.on_response(answer(1, "s1", {1, 4}), {1, 4}, TimePoint{110});
+  manager.on_response(answer(1, "wiped", {1, 4}), {1, 4}, TimePoint{110});
+  EXPECT_LT(manager.grant().until.value, 0);
 }
 
 TEST(CallDispatcher, SendsOnlyUnderAGrantThatCoversItsMap) {
   CallDispatcher dispatcher(here());
-  dispatcher.see(view_with(2, ""), TimePoint{0});
+  dispatcher.update_view(view_with(2, ""), TimePoint{0});
   auto step = [&](std::int64_t from, std::int64_t to) {
     for (std::int64_t ms = from; ms <= to; ms += 100)
       dispatcher.on_timer(TimePoint{ms});
@@ -108,27 +108,27 @@
   EXPECT_FALSE(dispatcher.admit(call("c"), TimePoint{1000}, 3));
   step(1100, 3100);
   EXPECT_EQ(dispatcher.admit(call("d"), TimePoint{3100}, 4)->code, 503);  // run out a second ago
-  auto sends = dispatcher.take_sends();
+  auto sends = dispatcher.drain_attempts();
   ASSERT_EQ(sends.size(), 1u);
   EXPECT_EQ(sends[0].call, 3);
 }
 
 TEST(CallDispatcher, ACallWaitsForTheGrantOnlyWhereOneIsBeingAskedFor) {
   CallDispatcher dispatcher(here());
-  dispatcher.see(view_with(2, ""), TimePoint{0});
+  dispatcher.update_view(view_with(2, ""), TimePoint{0});
   EXPECT_FALSE(dispatcher.admit(call("a"), TimePoint{0}, 1));  // it has just started
-  EXPECT_TRUE(dispatcher.take_sends().empty());                // and sends nothing without a grant
+  EXPECT_TRUE(dispatcher.drain_attempts().empty());            // and sends nothing without a grant
   dispatcher.set_grant({TimePoint{2100}, {1, 1}});
-  dispatcher.see(view_with(2, ""), TimePoint{100});
-  EXPECT_EQ(dispatcher.take_sends().size(), 1u);
+  dispatcher.update_view(view_with(2, ""), TimePoint{100});
+  EXPECT_EQ(dispatcher.drain_attempts().size(), 1u);
   // Nine seconds asleep: the grant has run out, and is asked for anew.
   EXPECT_FALSE(dispatcher.admit(call("b"), TimePoint{9100}, 2));
-  EXPECT_TRUE(dispatcher.take_sends().empty());
+  EXPECT_TRUE(dispatcher.drain_attempts().empty());
   for (std::int64_t ms = 9100; ms < 9700; ms += 50)
     dispatcher.on_timer(TimePoint{ms});
-  EXPECT_TRUE(dispatcher.take_finals().empty());
+  EXPECT_TRUE(dispatcher.drain_final_responses().empty());
   dispatcher.on_timer(TimePoint{9700});  // its patience is over: the final answer comes now, not at its deadline
-  auto finals = dispatcher.take_finals();
+  auto finals = dispatcher.drain_final_responses();
   ASSERT_EQ(finals.size(), 1u);
   EXPECT_EQ(finals[0].call, 2);
   EXPECT_EQ(finals[0].code, 503);
@@ -139,16 +139,16 @@
 TEST(CallDispatcher, TheSamePrefixGoesToTheSameRunnerUntilThatOneIsLoaded) {
   CallDispatcher dispatcher(here());
   dispatcher.set_grant(always);
-  dispatcher.see(view_with(12, R"(,"prefix_bytes":8)"), TimePoint{0});
+  dispatcher.update_view(view_with(12, R"(,"prefix_bytes":8)"), TimePoint{0});
   std::map<std::string, int> by_runner;
   for (CallIndex i = 1; i <= 2; ++i)
     dispatcher.admit(call("c" + std::to_string(i), "the same opening"), TimePoint{0}, i);
-  for (auto& act : dispatcher.take_sends())
+  for (auto& act : dispatcher.drain_attempts())
     ++by_runner[act.runner.text];
   EXPECT_EQ(by_runner.size(), 1u);
   for (CallIndex i = 3; i <= 14; ++i)
     dispatcher.admit(call("c" + std::to_string(i), "the same opening"), TimePoint{0}, i);
-  for (auto& act : dispatcher.take_sends())
+  for (auto& act : dispatcher.drain_attempts())
     ++by_runner[act.runner.text];
   EXPECT_GT(by_runner.size(), 2u);  // a crowd with one opening is spread
   for (auto& [runner, count] : by_runner)
@@ -163,16 +163,16 @@
   row.status = "cold";
   row.allowance = 3;
   row.warmup_grants = {{Address{"d1"}, 2}, {Address{"d2"}, 1}};
-  dispatcher.see(view, TimePoint{0});
+  dispatcher.update_view(view, TimePoint{0});
   for (CallIndex i = 1; i <= 6; ++i)
     dispatcher.admit(call("c" + std::to_string(i)), TimePoint{0}, i);
-  EXPECT_EQ(dispatcher.take_sends().size(), 2u);
+  EXPECT_EQ(dispatcher.drain_attempts().size(), 2u);
 }
 
 TEST(CallDispatcher, HomedWorkIsNeverMatchedAbroadAndFreeWorkSpillsWithinItsLimit) {
   CallDispatcher homed(here());
   homed.set_grant(always);
-  homed.see(view_with(4, R"(,"home":{"header":"x-home"})"), TimePoint{0});
+  homed.update_view(view_with(4, R"(,"home":{"header":"x-home"})"), TimePoint{0});
   auto abroad = call("a");
   abroad.headers["x-home"] = "there";
   EXPECT_EQ(homed.admit(abroad, TimePoint{0}, 1)->code, 421);
@@ -182,16 +182,16 @@
     at_home.headers["x-home"] = "here";
     homed.admit(at_home, TimePoint{0}, i);
   }
-  for (auto& act : homed.take_sends())
+  for (auto& act : homed.drain_attempts())
     EXPECT_TRUE(act.runner.text == "r0" || act.runner.text == "r2") << act.runner.text;
 
   CallDispatcher free_dispatcher(here());
   free_dispatcher.set_grant(always);
-  free_dispatcher.see(view_with(4, R"(,"spill":{"allowed":true,"limit_percent":25})"), TimePoint{0});
+  free_dispatcher.update_view(view_with(4, R"(,"spill":{"allowed":true,"limit_percent":25})"), TimePoint{0});
   int spilled = 0, sent = 0;
   for (CallIndex i = 1; i <= 30; ++i)
     free_dispatcher.admit(call("s" + std::to_string(i)), TimePoint{0}, i);
-  for (auto& act : free_dispatcher.take_sends()) {
+  for (auto& act : free_dispatcher.drain_attempts()) {
     ++sent;
     spilled += act.runner.text == "r1" || act.runner.text == "r3";
   }
@@ -202,17 +202,17 @@
 TEST(CallDispatcher, RetriesStayWithinAFifthOfTheSendsAndASmallAllowance) {
   CallDispatcher dispatcher(here());
   dispatcher.set_grant(always);
-  dispatcher.see(view_with(8, R"(,"repeatable":true)"), TimePoint{0});
+  dispatcher.update_view(view_with(8, R"(,"repeatable":true)"), TimePoint{0});
   CallIndex index = 0;
   std::int64_t sends = 0;
   for (int round = 0; round < 300; ++round) {
     TimePoint now{std::int64_t{round} * 100};
     dispatcher.admit(call("c" + std::to_string(round)), now, ++index);
     for (int hop = 0; hop < 6; ++hop)
-      for (auto& act : dispatcher.take_sends()) {  // every runner loses every call
+      for (auto& act : dispatcher.drain_attempts()) {  // every runner loses every call
         ++sends;
         dispatcher.on_attempt_finished(
-            {act.call, SendEndKind::lost, "no answer within the deadline", false, 0, 0, 0, false}, now);
+            {act.call, AttemptOutcome::lost, "no answer within the deadline", false, 0, 0, 0, false}, now);
       }
     dispatcher.on_timer(now);
   }
@@ -225,7 +225,7 @@
   settings.queue_bound = 3;
   CallDispatcher dispatcher(settings);
   dispatcher.set_grant(always);
-  dispatcher.see(view_with(1, ""), TimePoint{0});
+  dispatcher.update_view(view_with(1, ""), TimePoint{0});
   int at_once = 0;
   for (CallIndex i = 1; i <= 10; ++i)
     if (auto refusal = dispatcher.admit(call("c" + std::to_string(i)), TimePoint{0}, i)) {
@@ -233,28 +233,28 @@
       EXPECT_GT(refusal->retry_after.value, 0);
     }
   EXPECT_EQ(at_once, 3);  // four run, three pend
-  EXPECT_EQ(dispatcher.take_sends().size(), 4u);
+  EXPECT_EQ(dispatcher.drain_attempts().size(), 4u);
   dispatcher.on_timer(TimePoint{700});
   std::set<CallIndex> finals;
-  for (auto& act : dispatcher.take_finals()) {
+  for (auto& act : dispatcher.drain_final_responses()) {
     EXPECT_FALSE(act.may_have_run);
     finals.insert(act.call);
   }
   EXPECT_EQ(finals.size(), 3u);
-  dispatcher.on_attempt_finished({1, SendEndKind::answered, "", false, 0, 0, 0, false}, TimePoint{710});
-  EXPECT_TRUE(dispatcher.take_sends().empty());
+  dispatcher.on_attempt_finished({1, AttemptOutcome::completed, "", false, 0, 0, 0, false}, TimePoint{710});
+  EXPECT_TRUE(dispatcher.drain_attempts().empty());
 }
 
 TEST(CallDispatcher, ACallLostAfterItsSendIsUnknownAndNotSentAgainUnlessRepeatable) {
   for (bool is_repeatable : {false, true}) {
     CallDispatcher dispatcher(here());
     dispatcher.set_grant(always);
-    dispatcher.see(view_with(6, is_repeatable ? R"(,"repeatable":true)" : ""), TimePoint{0});
+    dispatcher.update_view(view_with(6, is_repeatable ? R"(,"repeatable":true)" : ""), TimePoint{0});
     dispatcher.admit(call("c"), TimePoint{0}, 1);
-    ASSERT_EQ(dispatcher.take_sends().size(), 1u);
-    dispatcher.on_attempt_finished({1, SendEndKind::lost, "link broke", false, 0, 0, 0, false}, TimePoint{5});
-    EXPECT_EQ(dispatcher.take_sends().size(), is_repeatable ? 1u : 0u);
-    auto finals = dispatcher.take_finals();
+    ASSERT_EQ(dispatcher.drain_attempts().size(), 1u);
+    dispatcher.on_attempt_finished({1, AttemptOutcome::lost, "link broke", false, 0, 0, 0, false}, TimePoint{5});
+    EXPECT_EQ(dispatcher.drain_attempts().size(), is_repeatable ? 1u : 0u);
+    auto finals = dispatcher.drain_final_responses();
     if (!is_repeatable) {
       ASSERT_EQ(finals.size(), 1u);
       EXPECT_TRUE(finals[0].may_have_run);
@@ -268,18 +268,18 @@
   auto cold = view_with(1, "");
   cold->runners.begin()->second.status = "cold";
   cold->runners.begin()->second.warmup_grants = {{Address{"d1"}, 1}};
-  dispatcher.see(cold, TimePoint{0});
+  dispatcher.update_view(cold, TimePoint{0});
   EXPECT_FALSE(dispatcher.admit(call("a"), TimePoint{0}, 1));
-  ASSERT_EQ(dispatcher.take_sends().size(), 1u);
-  SendEnd end;
+  ASSERT_EQ(dispatcher.drain_attempts().size(), 1u);
+  AttemptResult end;
   end.call = 1;
-  end.kind = SendEndKind::answered;
+  end.outcome = AttemptOutcome::completed;
   end.has_report = true;
   end.incarnation = 1;
   end.capacity = 4;
   end.is_warming_up = true;
   dispatcher.on_attempt_finished(end, TimePoint{10});
-  dispatcher.see(view_with(1, "", {1, 2}), TimePoint{20});  // warm now: no shares are given any more
+  dispatcher.update_view(view_with(1, "", {1, 2}), TimePoint{20});  // warm now: no shares are given any more
   EXPECT_FALSE(dispatcher.admit(call("b"), TimePoint{30}, 2));
-  EXPECT_EQ(dispatcher.take_sends().size(), 1u);
+  EXPECT_EQ(dispatcher.drain_attempts().size(), 1u);
 }
--- a/packages/call-routing/tests/route_dispatcher_digest_test.cpp
+++ b/packages/call-routing/tests/route_dispatcher_digest_test.cpp
@@ -24,7 +24,7 @@
 
 struct OpenAttempt {
   CallIndex call = 0;
-  int turn = 0;
+  int attempt_number = 0;
 };
 
 // One dispatcher of zone "north-1" on a virtual clock, driven by a random generator; `trace` records what it does.
@@ -104,10 +104,10 @@
 
   // An attempt that is open or was open lately: late reports must change nothing either.
   const OpenAttempt* pick_attempt() {
-    if (attempts_.empty())
+    if (known_attempts_.empty())
       return nullptr;
-    auto recent = std::min<std::int64_t>(24, static_cast<std::int64_t>(attempts_.size()));
-    return &attempts_[attempts_.size() - 1 - static_cast<std::size_t>(random_.below(recent))];
+    auto recent = std::min<std::int64_t>(24, static_cast<std::int64_t>(known_attempts_.size()));
+    return &known_attempts_[known_attempts_.size() - 1 - static_cast<std::size_t>(random_.below(recent))];
   }
 
   void report_progress() {
@@ -115,25 +115,30 @@
     if (attempt == nullptr)
       return;
     if (random_.chance(0.4))
-      dispatcher_.answer_begun(attempt->call, attempt->turn, now_);
+      dispatcher_.on_response_started(attempt->call, attempt->attempt_number, now_);
     else
-      dispatcher_.first_piece(attempt->call, attempt->turn, now_);
+      dispatcher_.on_stream_event(attempt->call, attempt->attempt_number, now_);
   }
 
   void finish_attempt() {
     const OpenAttempt* attempt = pick_attempt();
     if (attempt == nullptr)
       return;
-    static constexpr RoutedEndKind kinds[] = {
-        RoutedEndKind::answered,          RoutedEndKind::answered, RoutedEndKind::answered, RoutedEndKind::refused,
-        RoutedEndKind::wrong_incarnation, RoutedEndKind::unsent,   RoutedEndKind::lost,     RoutedEndKind::broken,
-        RoutedEndKind::caller_gone};
-    RoutedEnd end;
+    static constexpr RoutedAttemptOutcome kinds[] = {RoutedAttemptOutcome::completed,
+                                                     RoutedAttemptOutcome::completed,
+                                                     RoutedAttemptOutcome::completed,
+                                                     RoutedAttemptOutcome::refused,
+                                                     RoutedAttemptOutcome::wrong_incarnation,
+                                                     RoutedAttemptOutcome::not_sent,
+                                                     RoutedAttemptOutcome::lost,
+                                                     RoutedAttemptOutcome::broken,
+                                                     RoutedAttemptOutcome::caller_disconnected};
+    RoutedAttemptResult end;
     end.call = attempt->call;
-    end.turn = attempt->turn;
-    end.kind = kinds[random_.below(9)];
+    end.attempt_number = attempt->attempt_number;
+    end.outcome = kinds[random_.below(9)];
     end.reason = "reason-" + std::to_string(random_.below(3));
-    if (end.kind == RoutedEndKind::broken && random_.chance(0.8))
+    if (end.outcome == RoutedAttemptOutcome::broken && random_.chance(0.8))
       end.last_event = std::to_string(random_.below(100));
     end.has_report = random_.chance(0.3);
     end.running = random_.below(12);
@@ -143,11 +148,11 @@
     dispatcher_.on_attempt_finished(end, now_);
   }
 
-  void abandon_call() { dispatcher_.caller_gone(last_call_ - random_.below(20), now_); }
+  void abandon_call() { dispatcher_.on_caller_disconnected(last_call_ - random_.below(20), now_); }
 
   void run_timer() {
     dispatcher_.on_timer(now_);
-    trace_ << "timer " << (dispatcher_.timer_next(now_) - now_).value << "\n";
+    trace_ << "timer " << (dispatcher_.next_timer(now_) - now_).value << "\n";
   }
 
   void publish_view() {
@@ -165,7 +170,7 @@
     }
     if (random_.chance(0.7))
       dispatcher_.set_warming_up_until(now_ + Duration{random_.below(4000)});
-    dispatcher_.see(view, now_);
+    dispatcher_.update_view(view, now_);
   }
 
   void change_runners() {
@@ -222,20 +227,20 @@
   }
 
   void record_actions() {
-    for (const auto& stop : dispatcher_.take_stops())
-      trace_ << "stop " << stop.call << " " << stop.turn << "\n";
-    for (const auto& send : dispatcher_.take_sends()) {
-      trace_ << "send " << send.call << " " << send.turn << " " << send.runner.text << " " << send.http << " "
-             << send.is_repeatable << send.is_streaming << " " << send.rank << " " << (send.deadline - now_).value
-             << " '" << send.resume_after << "'\n";
-      attempts_.push_back({send.call, send.turn});
+    for (const auto& stop : dispatcher_.drain_cancellations())
+      trace_ << "stop " << stop.call << " " << stop.attempt_number << "\n";
+    for (const auto& send : dispatcher_.drain_attempts()) {
+      trace_ << "send " << send.call << " " << send.attempt_number << " " << send.runner.text << " "
+             << send.http_address << " " << send.is_repeatable << send.is_streaming << " " << send.rank << " "
+             << (send.deadline - now_).value << " '" << send.resume_after << "'\n";
+      known_attempts_.push_back({send.call, send.attempt_number});
     }
-    for (const auto& act : dispatcher_.take_finals())
+    for (const auto& act : dispatcher_.drain_final_responses())
       record_final("final", act);
-    trace_ << dispatcher_.in_hand() << "\n";
+    trace_ << dispatcher_.open_calls() << "\n";
   }
 
-  void record_final(const char* event, const FinalAct& act) {
+  void record_final(const char* event, const FinalResponse& act) {
     trace_ << event << " " << act.call << " " << act.code << " '" << act.reason << "' " << act.may_have_run << " "
            << act.retry_after.value << " " << act.homes.size() << "\n";
   }
@@ -258,7 +263,7 @@
   RouteDispatcher dispatcher_;
   TimePoint now_{100000};
   std::map<RunnerName, RunnerRow> runners_;
-  std::vector<OpenAttempt> attempts_;
+  std::vector<OpenAttempt> known_attempts_;
   CallIndex last_call_ = 0;
   int last_runner_ = 0;
   std::ostringstream trace_;
--- a/packages/call-routing/tests/route_dispatcher_test.cpp
+++ b/packages/call-routing/tests/route_dispatcher_test.cpp
@@ -84,11 +84,11 @@
   explicit Bench(const RouteDispatcherSettings& settings = settings_of("d1", "north")) : dispatcher(settings) {
     dispatcher.set_warming_up_until(TimePoint{INT64_MAX});
   }
-  void see(const std::vector<RunnerRow>& runners, std::vector<Route> routes = usual_routes()) {
-    dispatcher.see(std::make_shared<RoutingView>(view_of(runners, routes)), now);
+  void update_view(const std::vector<RunnerRow>& runners, std::vector<Route> routes = usual_routes()) {
+    dispatcher.update_view(std::make_shared<RoutingView>(view_of(runners, routes)), now);
   }
-  std::optional<FinalAct> arrive(const std::string& route, CallIndex index,
-                                 const std::vector<PromptPart>& prompt = {}) {
+  std::optional<FinalResponse> arrive(const std::string& route, CallIndex index,
+                                      const std::vector<PromptPart>& prompt = {}) {
     RoutedCall call;
     call.id.text = "call-" + std::to_string(index);
     call.host = "a.example";
@@ -99,21 +99,23 @@
   // Runs the timers until then.
   void run_to(TimePoint end) {
     while (now < end) {
-      now = std::min(end, std::max(now + Duration{1}, dispatcher.timer_next(now)));
+      now = std::min(end, std::max(now + Duration{1}, dispatcher.next_timer(now)));
       dispatcher.on_timer(now);
     }
   }
-  RoutedEnd end_of(const RoutedSend& send, RoutedEndKind kind) {
-    RoutedEnd end;
+  RoutedAttemptResult end_of(const RoutedAttempt& send, RoutedAttemptOutcome kind) {
+    RoutedAttemptResult end;
     end.call = send.call;
-    end.turn = send.turn;
-    end.kind = kind;
+    end.attempt_number = send.attempt_number;
+    end.outcome = kind;
     end.reason = "test";
     return end;
   }
-  void end(const RoutedSend& send, RoutedEndKind kind) { dispatcher.on_attempt_finished(end_of(send, kind), now); }
-  std::optional<RoutedSend> sent() {
-    auto sends = dispatcher.take_sends();
+  void end(const RoutedAttempt& send, RoutedAttemptOutcome kind) {
+    dispatcher.on_attempt_finished(end_of(send, kind), now);
+  }
+  std::optional<RoutedAttempt> sent() {
+    auto sends = dispatcher.drain_attempts();
     EXPECT_LE(sends.size(), 1u);
     if (sends.empty())
       return std::nullopt;
@@ -131,12 +133,12 @@
 
 TEST(RouteDispatcher, WithoutARouteACallGets404) {
   Bench bench;
-  bench.see(two_north);
+  bench.update_view(two_north);
   auto refusal = bench.arrive("nowhere", 1);
   ASSERT_TRUE(refusal);
   EXPECT_EQ(refusal->code, 404);
   EXPECT_FALSE(refusal->may_have_run);
-  EXPECT_EQ(bench.dispatcher.in_hand(), 0u);
+  EXPECT_EQ(bench.dispatcher.open_calls(), 0u);
 }
 
 // The earlier test wanted the refusal at once. A daemon that has just started knows its map within a moment, and a call
@@ -146,16 +148,16 @@
   ASSERT_FALSE(bench.arrive("free", 1));
   TimePoint begun = bench.now;
   bench.run_to(begun + Duration{149});
-  EXPECT_TRUE(bench.dispatcher.take_finals().empty());
-  EXPECT_EQ(bench.dispatcher.in_hand(), 1u);
+  EXPECT_TRUE(bench.dispatcher.drain_final_responses().empty());
+  EXPECT_EQ(bench.dispatcher.open_calls(), 1u);
   bench.run_to(begun + Duration{170});
-  auto finals = bench.dispatcher.take_finals();
+  auto finals = bench.dispatcher.drain_final_responses();
   ASSERT_EQ(finals.size(), 1u);
   EXPECT_EQ(finals.front().call, 1);
   EXPECT_EQ(finals.front().code, 503);
   EXPECT_GT(finals.front().retry_after, Duration{0});
   EXPECT_FALSE(finals.front().may_have_run);
-  EXPECT_EQ(bench.dispatcher.in_hand(), 0u);
+  EXPECT_EQ(bench.dispatcher.open_calls(), 0u);
   // Later there is no such hope: at once, and to come back after longer.
   bench.run_to(begun + Duration{400});
   auto refusal = bench.arrive("free", 2);
@@ -163,23 +165,23 @@
   EXPECT_EQ(refusal->code, 503);
   EXPECT_GT(refusal->retry_after, finals.front().retry_after);
   EXPECT_FALSE(refusal->may_have_run);
-  EXPECT_EQ(bench.dispatcher.in_hand(), 0u);
+  EXPECT_EQ(bench.dispatcher.open_calls(), 0u);
 }
 
 TEST(RouteDispatcher, ACallThatWaitsForTheFirstMapIsSentWithIt) {
   Bench bench;
   ASSERT_FALSE(bench.arrive("free", 1));
   bench.run_to(bench.now + Duration{100});
-  bench.see(two_north);
+  bench.update_view(two_north);
   auto send = bench.sent();
   ASSERT_TRUE(send);
   EXPECT_EQ(send->call, 1);
   // A caller that left meanwhile is forgotten.
   Bench other;
   ASSERT_FALSE(other.arrive("free", 1));
-  other.dispatcher.caller_gone(1, other.now);
-  EXPECT_EQ(other.dispatcher.in_hand(), 0u);
-  other.see(two_north);
+  other.dispatcher.on_caller_disconnected(1, other.now);
+  EXPECT_EQ(other.dispatcher.open_calls(), 0u);
+  other.update_view(two_north);
   EXPECT_FALSE(other.sent());
 }
 
@@ -187,24 +189,24 @@
 
 TEST(RouteDispatcher, HomesAreNeverLeft) {
   Bench bench;
-  bench.see({runner_of("n1", "north"), runner_of("n2", "north"), runner_of("s1", "south")});
+  bench.update_view({runner_of("n1", "north"), runner_of("n2", "north"), runner_of("s1", "south")});
   for (CallIndex index = 1; index <= 40; ++index) {
     bench.arrive("homed", index);
-    for (const auto& send : bench.dispatcher.take_sends())
+    for (const auto& send : bench.dispatcher.drain_attempts())
       EXPECT_EQ(send.runner.text, "s1");
   }
   bench.run_to(bench.now + Duration{2000});
-  for (const auto& send : bench.dispatcher.take_sends())
+  for (const auto& send : bench.dispatcher.drain_attempts())
     EXPECT_EQ(send.runner.text, "s1");
 }
 
 TEST(RouteDispatcher, HomesAreNotLeftWhenTheHomeHasNoRunner) {
   Bench bench;
-  bench.see({runner_of("n1", "north"), runner_of("n2", "north"), runner_of("s1", "south", "down")});
+  bench.update_view({runner_of("n1", "north"), runner_of("n2", "north"), runner_of("s1", "south", "down")});
   EXPECT_FALSE(bench.arrive("homed", 1));
   bench.run_to(bench.now + Duration{250});
-  EXPECT_TRUE(bench.dispatcher.take_sends().empty());
-  auto finals = bench.dispatcher.take_finals();
+  EXPECT_TRUE(bench.dispatcher.drain_attempts().empty());
+  auto finals = bench.dispatcher.drain_final_responses();
   ASSERT_EQ(finals.size(), 1u);
   EXPECT_EQ(finals[0].code, 503);
   EXPECT_FALSE(finals[0].may_have_run);
@@ -212,33 +214,33 @@
 
 TEST(RouteDispatcher, HomesAreNotLeftAfterTheHomesRunnerFails) {
   Bench bench;
-  bench.see({runner_of("n1", "north"), runner_of("s1", "south")});
+  bench.update_view({runner_of("n1", "north"), runner_of("s1", "south")});
   bench.arrive("homed", 1);
   auto send = bench.sent();
   ASSERT_TRUE(send);
-  bench.end(*send, RoutedEndKind::lost);
+  bench.end(*send, RoutedAttemptOutcome::lost);
   bench.run_to(bench.now + Duration{1000});
-  for (const auto& again : bench.dispatcher.take_sends())
+  for (const auto& again : bench.dispatcher.drain_attempts())
     EXPECT_EQ(again.runner.text, "s1");
 }
 
 TEST(RouteDispatcher, RunnersThatTheViewTakesOutGetNothingFromThatMomentOn) {
   for (const char* status : {"leaving", "emptied", "down"}) {
     Bench bench;
-    bench.see(two_north);
-    bench.see({runner_of("n1", "north", status), runner_of("n2", "north")});
+    bench.update_view(two_north);
+    bench.update_view({runner_of("n1", "north", status), runner_of("n2", "north")});
     for (CallIndex index = 1; index <= 30; ++index)
       bench.arrive(index % 2 == 0 ? "free" : "once", index);
-    auto sends = bench.dispatcher.take_sends();
+    auto sends = bench.dispatcher.drain_attempts();
     EXPECT_FALSE(sends.empty());
     for (const auto& send : sends)
       EXPECT_EQ(send.runner.text, "n2") << status;
-    bench.see({runner_of("n1", "north", status), runner_of("n2", "north", status)});
+    bench.update_view({runner_of("n1", "north", status), runner_of("n2", "north", status)});
     for (const auto& send : sends)
-      bench.end(send, RoutedEndKind::refused);
+      bench.end(send, RoutedAttemptOutcome::refused);
     bench.run_to(bench.now + Duration{1000});
-    EXPECT_TRUE(bench.dispatcher.take_sends().empty()) << status;
-    EXPECT_EQ(bench.dispatcher.in_hand(), 0u);
+    EXPECT_TRUE(bench.dispatcher.drain_attempts().empty()) << status;
+    EXPECT_EQ(bench.dispatcher.open_calls(), 0u);
   }
 }
 
@@ -252,15 +254,15 @@
   for (std::uint64_t opening = 1; opening <= 10; ++opening) {
     std::set<std::string> used;
     for (auto* bench : {&north, &south}) {
-      bench->see(runners);
+      bench->update_view(runners);
       for (std::uint64_t i = 0; i < 15; ++i) {
         CallIndex index = static_cast<CallIndex>(opening * 100 + i);
         bench->arrive("chat", index, {{opening * 7919, 20000}, {1000000 + opening * 100 + i, 50}});
         auto send = bench->sent();
         ASSERT_TRUE(send);
         used.insert(send->runner.text);
-        bench->dispatcher.first_piece(index, send->turn, bench->now);
-        bench->end(*send, RoutedEndKind::answered);
+        bench->dispatcher.on_stream_event(index, send->attempt_number, bench->now);
+        bench->end(*send, RoutedAttemptOutcome::completed);
         bench->now = bench->now + Duration{40};
       }
     }
@@ -274,9 +276,9 @@
     for (const char* region : {"north", "south"})
       runners.push_back(runner_of(std::string(1, *region) + std::to_string(i), region, "warm", 64));
   Bench bench;
-  bench.see(runners);
+  bench.update_view(runners);
   std::set<std::string> for_short, for_long;
-  std::vector<RoutedSend> in_hand;
+  std::vector<RoutedAttempt> open_calls;
   for (CallIndex index = 1; index <= 300; ++index) {
     bool is_long = index > 20 && index % 5 == 0;
     auto own = static_cast<std::uint64_t>(index);
@@ -284,11 +286,11 @@
     auto send = bench.sent();
     ASSERT_TRUE(send);
     (is_long ? for_long : for_short).insert(send->runner.text);
-    bench.dispatcher.first_piece(index, send->turn, bench.now);
-    in_hand.push_back(*send);
-    if (in_hand.size() > 6) {
-      bench.end(in_hand.front(), RoutedEndKind::answered);
-      in_hand.erase(in_hand.begin());
+    bench.dispatcher.on_stream_event(index, send->attempt_number, bench.now);
+    open_calls.push_back(*send);
+    if (open_calls.size() > 6) {
+      bench.end(open_calls.front(), RoutedAttemptOutcome::completed);
+      open_calls.erase(open_calls.begin());
     }
     bench.now = bench.now + Duration{20};
   }
@@ -301,19 +303,19 @@
   Bench bench;
   auto cold = runner_of("n1", "north", "cold");
   cold.warmup_grants = {{Address{"d1"}, 3}, {Address{"d2"}, 9}};
-  bench.see({cold});
+  bench.update_view({cold});
   bench.run_to(bench.now + Duration{2000});
   std::vector<TimePoint> sent;
   for (CallIndex index = 1; index <= 300; ++index) {
     bench.arrive("free", index);
-    for (const auto& send : bench.dispatcher.take_sends()) {
+    for (const auto& send : bench.dispatcher.drain_attempts()) {
       sent.push_back(bench.now);
-      bench.end(send, RoutedEndKind::answered);
+      bench.end(send, RoutedAttemptOutcome::completed);
     }
     bench.run_to(bench.now + Duration{17});
-    for (const auto& send : bench.dispatcher.take_sends()) {
+    for (const auto& send : bench.dispatcher.drain_attempts()) {
       sent.push_back(bench.now);
-      bench.end(send, RoutedEndKind::answered);
+      bench.end(send, RoutedAttemptOutcome::completed);
     }
   }
   EXPECT_GT(sent.size(), 9u);
@@ -323,7 +325,7 @@
   bench.dispatcher.set_warming_up_until(bench.now);
   bench.arrive("free", 1000);
   bench.run_to(bench.now + Duration{1500});
-  EXPECT_TRUE(bench.dispatcher.take_sends().empty());
+  EXPECT_TRUE(bench.dispatcher.drain_attempts().empty());
 }
 
 // A dispatcher that starts anew knows nothing of what the same daemon sent a moment ago.
@@ -331,19 +333,19 @@
   auto cold = runner_of("n1", "north", "cold");
   cold.warmup_grants = {{Address{"d1"}, 3}};
   Bench before;
-  before.see({cold});
+  before.update_view({cold});
   before.run_to(before.now + Duration{1500});
   std::size_t sent = 0;
   for (CallIndex index = 1; index <= 6; ++index)
     before.arrive("free", index);
-  sent += before.dispatcher.take_sends().size();
+  sent += before.dispatcher.drain_attempts().size();
   Bench after;
   after.now = before.now + Duration{200};
-  after.see({cold});
+  after.update_view({cold});
   for (CallIndex index = 1; index <= 6; ++index)
     after.arrive("free", index);
   after.run_to(before.now + Duration{999});
-  sent += after.dispatcher.take_sends().size();
+  sent += after.dispatcher.drain_attempts().size();
   EXPECT_LE(sent, 3u);
 }
 
@@ -351,18 +353,18 @@
   auto cold = runner_of("n1", "north", "cold");
   cold.warmup_grants = {{Address{"d1"}, 3}};
   Bench bench;
-  bench.see({cold});
+  bench.update_view({cold});
   bench.run_to(bench.now + Duration{1500});
   std::size_t sent = 0;
   for (CallIndex index = 1; index <= 8; ++index) {
     if (index == 4) {
-      bench.see({});
-      bench.see({cold});
+      bench.update_view({});
+      bench.update_view({cold});
     }
     bench.arrive("free", index);
-    for (const auto& send : bench.dispatcher.take_sends()) {
+    for (const auto& send : bench.dispatcher.drain_attempts()) {
       ++sent;
-      bench.end(send, RoutedEndKind::answered);
+      bench.end(send, RoutedAttemptOutcome::completed);
     }
   }
   EXPECT_EQ(sent, 3u);
@@ -372,47 +374,47 @@
 
 TEST(RouteDispatcher, WhenNobodyIsFreeACallIsRefusedWithinAQuarterOfItsTarget) {
   Bench bench;
-  bench.see({runner_of("n1", "north", "warm", 1)});
+  bench.update_view({runner_of("n1", "north", "warm", 1)});
   TimePoint begun = bench.now;
   std::size_t sent = 0, refused = 0;
   for (CallIndex index = 1; index <= 20; ++index)
     bench.arrive("free", index);
-  sent = bench.dispatcher.take_sends().size();
+  sent = bench.dispatcher.drain_attempts().size();
   bench.run_to(begun + Duration{250});
-  for (const auto& act : bench.dispatcher.take_finals()) {
+  for (const auto& act : bench.dispatcher.drain_final_responses()) {
     ++refused;
     EXPECT_EQ(act.code, 503);
     EXPECT_FALSE(act.may_have_run);
     EXPECT_GT(act.retry_after, Duration{0});
   }
   EXPECT_EQ(sent + refused, 20u);
-  EXPECT_EQ(bench.dispatcher.in_hand(), sent);
+  EXPECT_EQ(bench.dispatcher.open_calls(), sent);
 }
 
 TEST(RouteDispatcher, NothingIsRefusedWhileARunnerThatMayTakeItIsFree) {
   Bench bench;
   std::vector<RunnerRow> runners{runner_of("n1", "north", "warm", 4), runner_of("s1", "south", "warm", 4),
                                  runner_of("w1", "west", "warm", 4)};
-  bench.see(runners);
+  bench.update_view(runners);
   for (CallIndex index = 1; index <= 12; ++index) {  // as many as all have slots, whatever is nearer
     EXPECT_FALSE(bench.arrive("free", index));
-    EXPECT_EQ(bench.dispatcher.take_sends().size(), 1u);
+    EXPECT_EQ(bench.dispatcher.drain_attempts().size(), 1u);
   }
   EXPECT_EQ(bench.dispatcher.counts().pended, 0);
 }
 
 TEST(RouteDispatcher, WhatIsPendingIsSentTheMomentARunnerComesFree) {
   Bench bench;
-  bench.see({runner_of("n1", "north", "warm", 1)});
+  bench.update_view({runner_of("n1", "north", "warm", 1)});
   CallIndex index = 0;
-  std::vector<RoutedSend> sends;
+  std::vector<RoutedAttempt> sends;
   while (bench.dispatcher.counts().pended == 0) {
     bench.arrive("free", ++index);
-    for (const auto& send : bench.dispatcher.take_sends())
+    for (const auto& send : bench.dispatcher.drain_attempts())
       sends.push_back(send);
   }
   bench.now = bench.now + Duration{100};
-  bench.end(sends.front(), RoutedEndKind::answered);
+  bench.end(sends.front(), RoutedAttemptOutcome::completed);
   auto next = bench.sent();
   ASSERT_TRUE(next);
   EXPECT_EQ(next->call, index);
@@ -420,22 +422,22 @@
 
 TEST(RouteDispatcher, ANewRunnerInTheViewTakesWhatIsQueued) {
   Bench bench;
-  bench.see({});
+  bench.update_view({});
   EXPECT_FALSE(bench.arrive("free", 1));
   bench.now = bench.now + Duration{50};
-  bench.see(two_north);
+  bench.update_view(two_north);
   EXPECT_TRUE(bench.sent());
 }
 
 TEST(RouteDispatcher, FirstRankComesFirstOutOfTheQueue) {
   Bench bench;
-  bench.see({});
+  bench.update_view({});
   int at = 0;
   for (const char* name : {"last", "free", "first", "last", "free", "first"})
     EXPECT_FALSE(bench.arrive(name, ++at));
-  bench.see({runner_of("n1", "north", "warm", 64)});
+  bench.update_view({runner_of("n1", "north", "warm", 64)});
   std::vector<CallIndex> order;
-  for (const auto& send : bench.dispatcher.take_sends())
+  for (const auto& send : bench.dispatcher.drain_attempts())
     order.push_back(send.call);
   EXPECT_EQ(order, (std::vector<CallIndex>{3, 6, 2, 5, 1, 4}));
 }
@@ -444,49 +446,50 @@
   auto settings = settings_of("d1", "north");
   settings.queue_bound = 5;
   Bench bench(settings);
-  bench.see({});
+  bench.update_view({});
   for (CallIndex index = 1; index <= 5; ++index)
     EXPECT_FALSE(bench.arrive("free", index));
   auto refusal = bench.arrive("free", 6);
   ASSERT_TRUE(refusal);
   EXPECT_EQ(refusal->code, 503);
   EXPECT_GT(refusal->retry_after, Duration{0});
-  EXPECT_EQ(bench.dispatcher.in_hand(), 5u);
+  EXPECT_EQ(bench.dispatcher.open_calls(), 5u);
 }
 
 // --- resend ------------------------------------------------------------------------------------------
 
 TEST(RouteDispatcher, WhatMayNotBeRepeatedIsNeverSentAgainAfterItMayHaveRun) {
-  for (auto kind : {RoutedEndKind::lost, RoutedEndKind::broken}) {
+  for (auto kind : {RoutedAttemptOutcome::lost, RoutedAttemptOutcome::broken}) {
     Bench bench;
-    bench.see(two_north);
+    bench.update_view(two_north);
     bench.arrive("once", 1);
     auto send = bench.sent();
     ASSERT_TRUE(send);
     EXPECT_FALSE(send->is_repeatable);
     bench.end(*send, kind);
     bench.run_to(bench.now + Duration{12000});
-    EXPECT_TRUE(bench.dispatcher.take_sends().empty());
-    auto finals = bench.dispatcher.take_finals();
+    EXPECT_TRUE(bench.dispatcher.drain_attempts().empty());
+    auto finals = bench.dispatcher.drain_final_responses();
     ASSERT_EQ(finals.size(), 1u);
     EXPECT_TRUE(finals[0].may_have_run);
-    EXPECT_EQ(bench.dispatcher.in_hand(), 0u);
+    EXPECT_EQ(bench.dispatcher.open_calls(), 0u);
   }
 }
 
 // A copy of it was written before, over a link that then closed: the refusal of the second copy says nothing of it.
 TEST(RouteDispatcher, ARefusalPromisesNothingOfACopyThatMayHaveRun) {
-  for (RoutedEndKind kind : {RoutedEndKind::refused, RoutedEndKind::wrong_incarnation, RoutedEndKind::unsent}) {
+  for (RoutedAttemptOutcome kind :
+       {RoutedAttemptOutcome::refused, RoutedAttemptOutcome::wrong_incarnation, RoutedAttemptOutcome::not_sent}) {
     Bench bench;
-    bench.see({runner_of("r1", "north")});
+    bench.update_view({runner_of("r1", "north")});
     EXPECT_FALSE(bench.arrive("free", 1));
-    auto sends = bench.dispatcher.take_sends();
+    auto sends = bench.dispatcher.drain_attempts();
     ASSERT_EQ(sends.size(), 1u);
-    RoutedEnd end = bench.end_of(sends[0], kind);
+    RoutedAttemptResult end = bench.end_of(sends[0], kind);
     end.may_have_run = true;
     bench.dispatcher.on_attempt_finished(end, bench.now);
     bench.run_to(bench.now + Duration{3000});
-    auto finals = bench.dispatcher.take_finals();
+    auto finals = bench.dispatcher.drain_final_responses();
     ASSERT_EQ(finals.size(), 1u);
     EXPECT_EQ(finals[0].code, 502);
     EXPECT_TRUE(finals[0].may_have_run);
@@ -495,18 +498,18 @@
 
 TEST(RouteDispatcher, ASecondSendAfterARefusalMayBeLostAndThenNoThirdFollows) {
   Bench bench;
-  bench.see({runner_of("n1", "north"), runner_of("n2", "north"), runner_of("n3", "north")});
+  bench.update_view({runner_of("n1", "north"), runner_of("n2", "north"), runner_of("n3", "north")});
   bench.arrive("once", 1);
   auto first = bench.sent();
   ASSERT_TRUE(first);
-  bench.end(*first, RoutedEndKind::refused);
+  bench.end(*first, RoutedAttemptOutcome::refused);
   auto second = bench.sent();
   ASSERT_TRUE(second);
   EXPECT_NE(second->runner, first->runner);
-  bench.end(*second, RoutedEndKind::lost);
+  bench.end(*second, RoutedAttemptOutcome::lost);
   bench.run_to(bench.now + Duration{12000});
-  EXPECT_TRUE(bench.dispatcher.take_sends().empty());
-  auto finals = bench.dispatcher.take_finals();
+  EXPECT_TRUE(bench.dispatcher.drain_attempts().empty());
+  auto finals = bench.dispatcher.drain_final_responses();
   ASSERT_EQ(finals.size(), 1u);
   EXPECT_TRUE(finals[0].may_have_run);
 }
@@ -521,17 +524,17 @@
     std::vector<RunnerRow> runners;
     for (int i = 1; i <= 6; ++i)
       runners.push_back(runner_of("n" + std::to_string(i), "north"));
-    bench.see(runners, {once});
+    bench.update_view(runners, {once});
     bench.arrive("once", 1);
     std::int64_t sends = 0;
     std::set<std::string> used;
     while (auto send = bench.sent()) {
       ++sends;
       EXPECT_TRUE(used.insert(send->runner.text).second);
-      bench.end(*send, sends % 2 == 1 ? RoutedEndKind::refused : RoutedEndKind::wrong_incarnation);
+      bench.end(*send, sends % 2 == 1 ? RoutedAttemptOutcome::refused : RoutedAttemptOutcome::wrong_incarnation);
     }
     EXPECT_EQ(sends, max_sends);
-    auto finals = bench.dispatcher.take_finals();
+    auto finals = bench.dispatcher.drain_final_responses();
     ASSERT_EQ(finals.size(), 1u);
     EXPECT_FALSE(finals[0].may_have_run);
     EXPECT_EQ(finals[0].code, 503);
@@ -543,84 +546,84 @@
   Bench bench;
   auto once = route_of("once", false);
   once.max_sends = 1;
-  bench.see(two_north, {once});
+  bench.update_view(two_north, {once});
   bench.arrive("once", 1);
   auto first = bench.sent();
   ASSERT_TRUE(first);
-  bench.end(*first, RoutedEndKind::unsent);
+  bench.end(*first, RoutedAttemptOutcome::not_sent);
   auto second = bench.sent();
   ASSERT_TRUE(second);
   EXPECT_NE(second->runner, first->runner);
   EXPECT_EQ(bench.dispatcher.counts().resends, 0);
-  bench.end(*second, RoutedEndKind::refused);
+  bench.end(*second, RoutedAttemptOutcome::refused);
   EXPECT_FALSE(bench.sent());
-  EXPECT_EQ(bench.dispatcher.take_finals().size(), 1u);
+  EXPECT_EQ(bench.dispatcher.drain_final_responses().size(), 1u);
 }
 
 TEST(RouteDispatcher, WithoutResendsEarnedNothingIsSentTwice) {
   auto settings = settings_of("d1", "north");
   settings.resend_start = settings.resend_share = 0;
   Bench bench(settings);
-  bench.see(two_north);
+  bench.update_view(two_north);
   for (CallIndex index = 1; index <= 10; ++index) {
     bench.arrive("free", index);
     auto send = bench.sent();
     ASSERT_TRUE(send);
-    bench.end(*send, RoutedEndKind::lost);
+    bench.end(*send, RoutedAttemptOutcome::lost);
     EXPECT_FALSE(bench.sent());
-    EXPECT_EQ(bench.dispatcher.take_finals().size(), 1u);
+    EXPECT_EQ(bench.dispatcher.drain_final_responses().size(), 1u);
     bench.run_to(bench.now + Duration{3000});
   }
 }
 
 TEST(RouteDispatcher, ABrokenStreamGoesOnElsewhereAfterItsLastEvent) {
   Bench bench;
-  bench.see(two_north);
+  bench.update_view(two_north);
   bench.arrive("chat", 1);
   auto first = bench.sent();
   ASSERT_TRUE(first);
   EXPECT_EQ(first->resume_after, "");
-  bench.dispatcher.first_piece(1, first->turn, bench.now);
-  auto end = bench.end_of(*first, RoutedEndKind::broken);
+  bench.dispatcher.on_stream_event(1, first->attempt_number, bench.now);
+  auto end = bench.end_of(*first, RoutedAttemptOutcome::broken);
   end.last_event = "17";
   bench.dispatcher.on_attempt_finished(end, bench.now);
   auto second = bench.sent();
   ASSERT_TRUE(second);
   EXPECT_NE(second->runner, first->runner);
   EXPECT_EQ(second->resume_after, "17");
-  EXPECT_EQ(second->turn, first->turn + 1);
-  bench.end(*second, RoutedEndKind::answered);
-  EXPECT_EQ(bench.dispatcher.in_hand(), 0u);
-  EXPECT_TRUE(bench.dispatcher.take_finals().empty());
+  EXPECT_EQ(second->attempt_number, first->attempt_number + 1);
+  bench.end(*second, RoutedAttemptOutcome::completed);
+  EXPECT_EQ(bench.dispatcher.open_calls(), 0u);
+  EXPECT_TRUE(bench.dispatcher.drain_final_responses().empty());
 }
 
 TEST(RouteDispatcher, ABrokenStreamThatMayNotBeResumedEndsVisibly) {
   Bench bench;
-  bench.see(two_north);
+  bench.update_view(two_north);
   bench.arrive("once", 1);
   auto send = bench.sent();
   ASSERT_TRUE(send);
-  bench.dispatcher.first_piece(1, send->turn, bench.now);
-  bench.end(*send, RoutedEndKind::broken);
+  bench.dispatcher.on_stream_event(1, send->attempt_number, bench.now);
+  bench.end(*send, RoutedAttemptOutcome::broken);
   EXPECT_FALSE(bench.sent());
-  auto finals = bench.dispatcher.take_finals();
+  auto finals = bench.dispatcher.drain_final_responses();
   ASSERT_EQ(finals.size(), 1u);
   EXPECT_TRUE(finals[0].may_have_run);
 }
 
 TEST(RouteDispatcher, AnotherLifeAtTheAddressIsLeftAlone) {
   Bench bench;
-  bench.see(two_north);
+  bench.update_view(two_north);
   bench.arrive("once", 1);
   auto first = bench.sent();
   ASSERT_TRUE(first);
-  bench.end(*first, RoutedEndKind::wrong_incarnation);
+  bench.end(*first, RoutedAttemptOutcome::wrong_incarnation);
   auto second = bench.sent();
   ASSERT_TRUE(second);
   EXPECT_NE(second->runner, first->runner);
   for (CallIndex index = 2; index <= 9; ++index) {
     bench.arrive("free", index);
-    for (const auto& send : bench.dispatcher.take_sends())
+    for (const auto& send : bench.dispatcher.drain_attempts())
       EXPECT_NE(send.runner, first->runner);
     bench.now = bench.now + Duration{100};
   }
@@ -630,38 +633,38 @@
 
 TEST(RouteDispatcher, WhatASilentRunnerHoldsIsStoppedAndSentElsewhereIfItMayBeRepeated) {
   Bench bench;
-  bench.see(two_north);
+  bench.update_view(two_north);
   bench.arrive("free", 1);
   auto first = bench.sent();
   ASSERT_TRUE(first);
   TimePoint begun = bench.now;
-  std::optional<RoutedSend> second;
+  std::optional<RoutedAttempt> second;
   while (!second && bench.now < begun + Duration{1000}) {
     bench.run_to(bench.now + Duration{10});
     second = bench.sent();
   }
   ASSERT_TRUE(second);
   EXPECT_NE(second->runner, first->runner);
-  auto stops = bench.dispatcher.take_stops();
+  auto stops = bench.dispatcher.drain_cancellations();
   ASSERT_EQ(stops.size(), 1u);
   EXPECT_EQ(stops[0].call, 1);
-  EXPECT_EQ(stops[0].turn, first->turn);
+  EXPECT_EQ(stops[0].attempt_number, first->attempt_number);
 }
 
 TEST(RouteDispatcher, WhatMayNotBeRepeatedWaitsForASilentRunnerUntilItsDeadline) {
   Bench bench;
-  bench.see(two_north);
+  bench.update_view(two_north);
   bench.arrive("once", 1);
   auto send = bench.sent();
   ASSERT_TRUE(send);
   TimePoint begun = bench.now;
   bench.run_to(begun + Duration{9900});
-  EXPECT_TRUE(bench.dispatcher.take_sends().empty());
-  EXPECT_TRUE(bench.dispatcher.take_stops().empty());
-  EXPECT_TRUE(bench.dispatcher.take_finals().empty());
+  EXPECT_TRUE(bench.dispatcher.drain_attempts().empty());
+  EXPECT_TRUE(bench.dispatcher.drain_cancellations().empty());
+  EXPECT_TRUE(bench.dispatcher.drain_final_responses().empty());
   bench.run_to(begun + Duration{10200});
-  EXPECT_EQ(bench.dispatcher.take_stops().size(), 1u);
-  auto finals = bench.dispatcher.take_finals();
+  EXPECT_EQ(bench.dispatcher.drain_cancellations().size(), 1u);
+  auto finals = bench.dispatcher.drain_final_responses();
   ASSERT_EQ(finals.size(), 1u);
   EXPECT_EQ(finals[0].code, 504);
   EXPECT_TRUE(finals[0].may_have_run);
@@ -669,94 +672,95 @@
 
 TEST(RouteDispatcher, ASilentRunnerWithNoOtherIsWaitedFor) {
   Bench bench;
-  bench.see({runner_of("n1", "north")});
+  bench.update_view({runner_of("n1", "north")});
   bench.arrive("free", 1);
   auto send = bench.sent();
   ASSERT_TRUE(send);
   bench.run_to(bench.now + Duration{5000});
-  EXPECT_TRUE(bench.dispatcher.take_stops().empty());
-  bench.end(*send, RoutedEndKind::answered);
-  EXPECT_EQ(bench.dispatcher.in_hand(), 0u);
+  EXPECT_TRUE(bench.dispatcher.drain_cancellations().empty());
+  bench.end(*send, RoutedAttemptOutcome::completed);
+  EXPECT_EQ(bench.dispatcher.open_calls(), 0u);
 }
 
 // --- end ---------------------------------------------------------------------------------------------
 
 TEST(RouteDispatcher, ACallerThatLeavesStopsItsSend) {
   Bench bench;
-  bench.see(two_north);
+  bench.update_view(two_north);
   bench.arrive("once", 1);
   auto send = bench.sent();
   ASSERT_TRUE(send);
-  bench.dispatcher.caller_gone(1, bench.now);
-  auto stops = bench.dispatcher.take_stops();
+  bench.dispatcher.on_caller_disconnected(1, bench.now);
+  auto stops = bench.dispatcher.drain_cancellations();
   ASSERT_EQ(stops.size(), 1u);
-  EXPECT_EQ(stops[0].turn, send->turn);
-  EXPECT_EQ(bench.dispatcher.in_hand(), 0u);
-  bench.end(*send, RoutedEndKind::answered);  // too late
-  bench.dispatcher.caller_gone(1, bench.now);
-  EXPECT_TRUE(bench.dispatcher.take_finals().empty());
-  EXPECT_TRUE(bench.dispatcher.take_stops().empty());
+  EXPECT_EQ(stops[0].attempt_number, send->attempt_number);
+  EXPECT_EQ(bench.dispatcher.open_calls(), 0u);
+  bench.end(*send, RoutedAttemptOutcome::completed);  // too late
+  bench.dispatcher.on_caller_disconnected(1, bench.now);
+  EXPECT_TRUE(bench.dispatcher.drain_final_responses().empty());
+  EXPECT_TRUE(bench.dispatcher.drain_cancellations().empty());
 }
 
 TEST(RouteDispatcher, ACallerThatLeavesWhilePendingIsForgotten) {
   Bench bench;
-  bench.see({});
+  bench.update_view({});
   bench.arrive("free", 1);
-  bench.dispatcher.caller_gone(1, bench.now);
-  bench.see(two_north);
+  bench.dispatcher.on_caller_disconnected(1, bench.now);
+  bench.update_view(two_north);
   EXPECT_FALSE(bench.sent());
-  EXPECT_TRUE(bench.dispatcher.take_stops().empty());
-  EXPECT_EQ(bench.dispatcher.in_hand(), 0u);
+  EXPECT_TRUE(bench.dispatcher.drain_cancellations().empty());
+  EXPECT_EQ(bench.dispatcher.open_calls(), 0u);
 }
 
 TEST(RouteDispatcher, LateEndsOfAnOldTurnAreIgnored) {
   Bench bench;
-  bench.see(two_north);
+  bench.update_view(two_north);
   bench.arrive("free", 1);
   auto first = bench.sent();
   ASSERT_TRUE(first);
-  bench.end(*first, RoutedEndKind::refused);
+  bench.end(*first, RoutedAttemptOutcome::refused);
   auto second = bench.sent();
   ASSERT_TRUE(second);
-  for (auto kind : {RoutedEndKind::answered, RoutedEndKind::lost, RoutedEndKind::unsent, RoutedEndKind::caller_gone})
+  for (auto kind : {RoutedAttemptOutcome::completed, RoutedAttemptOutcome::lost, RoutedAttemptOutcome::not_sent,
+                    RoutedAttemptOutcome::caller_disconnected})
     bench.end(*first, kind);
-  EXPECT_EQ(bench.dispatcher.in_hand(), 1u);
+  EXPECT_EQ(bench.dispatcher.open_calls(), 1u);
   EXPECT_FALSE(bench.sent());
-  EXPECT_TRUE(bench.dispatcher.take_finals().empty());
-  bench.end(*second, RoutedEndKind::answered);
-  bench.end(*second, RoutedEndKind::lost);
-  EXPECT_EQ(bench.dispatcher.in_hand(), 0u);
-  EXPECT_TRUE(bench.dispatcher.take_finals().empty());
+  EXPECT_TRUE(bench.dispatcher.drain_final_responses().empty());
+  bench.end(*second, RoutedAttemptOutcome::completed);
+  bench.end(*second, RoutedAttemptOutcome::lost);
+  EXPECT_EQ(bench.dispatcher.open_calls(), 0u);
+  EXPECT_TRUE(bench.dispatcher.drain_final_responses().empty());
 }
 
 TEST(RouteDispatcher, AnEndToldTwiceCountsOnceWhileTheCallIsPendingAgain) {
   Bench bench;
-  bench.see({runner_of("n1", "north")});
+  bench.update_view({runner_of("n1", "north")});
   bench.arrive("once", 1);
   auto first = bench.sent();
   ASSERT_TRUE(first);
-  bench.end(*first, RoutedEndKind::refused);
-  bench.end(*first, RoutedEndKind::lost);
-  bench.end(*first, RoutedEndKind::answered);
-  EXPECT_EQ(bench.dispatcher.in_hand(), 1u);
-  EXPECT_TRUE(bench.dispatcher.take_finals().empty());
-  bench.see(two_north);
+  bench.end(*first, RoutedAttemptOutcome::refused);
+  bench.end(*first, RoutedAttemptOutcome::lost);
+  bench.end(*first, RoutedAttemptOutcome::completed);
+  EXPECT_EQ(bench.dispatcher.open_calls(), 1u);
+  EXPECT_TRUE(bench.dispatcher.drain_final_responses().empty());
+  bench.update_view(two_north);
   EXPECT_TRUE(bench.sent());
 }
 
 TEST(RouteDispatcher, APieceOfASendThatEndedSaysNothingOfTheNext) {
   Bench bench;
-  bench.see({runner_of("n1", "north")});
+  bench.update_view({runner_of("n1", "north")});
   bench.arrive("once", 1);
   auto first = bench.sent();
   ASSERT_TRUE(first);
-  bench.end(*first, RoutedEndKind::refused);  // pending again: there is no other
-  bench.dispatcher.first_piece(1, first->turn, bench.now);
-  bench.see({runner_of("n1", "north"), runner_of("n2", "north")});
+  bench.end(*first, RoutedAttemptOutcome::refused);  // pending again: there is no other
+  bench.dispatcher.on_stream_event(1, first->attempt_number, bench.now);
+  bench.update_view({runner_of("n1", "north"), runner_of("n2", "north")});
   auto second = bench.sent();
   ASSERT_TRUE(second);
-  bench.end(*second, RoutedEndKind::refused);
-  auto finals = bench.dispatcher.take_finals();
+  bench.end(*second, RoutedAttemptOutcome::refused);
+  auto finals = bench.dispatcher.drain_final_responses();
   for (const auto& act : finals)
     EXPECT_FALSE(act.may_have_run);
 }
@@ -791,9 +795,9 @@
     is_refusing = random.below(3) == 0;
   }
 
-  struct InHand {
+  struct OpenCallTotals {
     bool is_repeatable = false, is_sent = false, all_sure = true;
-    int turn = 0, arrivals = 0;
+    int attempt_number = 0, arrivals = 0;
     RunnerName runner;
     PoolName of;
   };
@@ -807,7 +811,7 @@
     int incarnation = 0;
     std::unique_ptr<RouteDispatcher> dispatcher;
     std::shared_ptr<const RoutingView> view;
-    std::map<CallIndex, InHand> calls;
+    std::map<CallIndex, OpenCallTotals> calls;
     std::deque<Letter> mail;
     TimePoint cut_until{-1}, down_until{-1}, warming_up_until{-1};
     std::map<RunnerName, std::deque<std::pair<TimePoint, std::int64_t>>> shares;  // since when it held which
@@ -898,31 +902,31 @@
     events.emplace(now + later, Event{static_cast<int>(&daemon - daemons.data()), daemon.incarnation, std::move(act)});
   }
 
-  void take_send(Daemon& daemon, const RoutedSend& send) {
+  void take_send(Daemon& daemon, const RoutedAttempt& send) {
     auto entry = daemon.calls.find(send.call);
     RC_ASSERT(entry != daemon.calls.end());
-    InHand& call = entry->second;
+    OpenCallTotals& call = entry->second;
     RC_ASSERT(!call.is_sent);  // (d)
-    RC_ASSERT(send.turn == call.turn + 1);
+    RC_ASSERT(send.attempt_number == call.attempt_number + 1);
     RC_ASSERT(call.is_repeatable || call.all_sure);  // (c)
     const auto& row = daemon.view->runners.at(send.runner);
     RC_ASSERT(row.status == "warm" || (row.status == "cold" && now < daemon.warming_up_until));
     call.is_sent = true;
-    call.turn = send.turn;
+    call.attempt_number = send.attempt_number;
     call.runner = send.runner;
     call.of = row.pool;
-    auto kind = RoutedEndKind::answered;
+    auto kind = RoutedAttemptOutcome::completed;
     bool is_silent = false;
     if (random.chance(trouble)) {
       auto drawn = is_refusing ? 0 : random.below(7);
       is_silent = drawn == 6;
-      const RoutedEndKind kinds[] = {RoutedEndKind::refused, RoutedEndKind::wrong_incarnation,
-                                     RoutedEndKind::unsent,  RoutedEndKind::lost,
-                                     RoutedEndKind::broken,  RoutedEndKind::lost,
-                                     RoutedEndKind::lost};
+      const RoutedAttemptOutcome kinds[] = {RoutedAttemptOutcome::refused,  RoutedAttemptOutcome::wrong_incarnation,
+                                            RoutedAttemptOutcome::not_sent, RoutedAttemptOutcome::lost,
+                                            RoutedAttemptOutcome::broken,   RoutedAttemptOutcome::lost,
+                                            RoutedAttemptOutcome::lost};
       kind = kinds[drawn];
     }
-    bool reaches = kind != RoutedEndKind::unsent;
+    bool reaches = kind != RoutedAttemptOutcome::not_sent;
     if (reaches)
       ++call.arrivals;
     all_sends.push_back({now, static_cast<int>(&daemon - daemons.data()), call.arrivals <= 1, reaches, row.pool});
@@ -930,63 +934,65 @@
       warmup_sends[send.runner].push_back(all_sends.back());
     if (is_silent)
       return;
-    bool has_pieces = kind == RoutedEndKind::answered || kind == RoutedEndKind::broken;
-    Duration takes{1 + random.below(kind == RoutedEndKind::answered ? 400 : 60)};
+    bool has_pieces = kind == RoutedAttemptOutcome::completed || kind == RoutedAttemptOutcome::broken;
+    Duration takes{1 + random.below(kind == RoutedAttemptOutcome::completed ? 400 : 60)};
     CallIndex index = send.call;
-    int turn = send.turn;
+    int attempt_number = send.attempt_number;
     if (has_pieces)
       plan(daemon, Duration{takes.value / 2},
-           [this, index, turn](Daemon& at) { at.dispatcher->first_piece(index, turn, now); });
+           [this, index, attempt_number](Daemon& at) { at.dispatcher->on_stream_event(index, attempt_number, now); });
     int ends = random.chance(0.05) ? 2 : 1;  // told twice, now and then
     for (int i = 0; i < ends; ++i)
-      plan(daemon, takes, [this, index, turn, kind](Daemon& at) {
+      plan(daemon, takes, [this, index, attempt_number, kind](Daemon& at) {
         auto found = at.calls.find(index);
-        bool is_current = found != at.calls.end() && found->second.is_sent && found->second.turn == turn;
-        RoutedEnd end;
+        bool is_current =
+            found != at.calls.end() && found->second.is_sent && found->second.attempt_number == attempt_number;
+        RoutedAttemptResult end;
         end.call = index;
-        end.turn = turn;
-        end.kind = kind;
-        end.last_event = kind == RoutedEndKind::broken ? "5" : "";
+        end.attempt_number = attempt_number;
+        end.outcome = kind;
+        end.last_event = kind == RoutedAttemptOutcome::broken ? "5" : "";
         end.has_report = random.chance(0.3);
         end.running = random.below(10);
         if (is_current) {
           found->second.is_sent = false;
-          bool is_sure = kind == RoutedEndKind::refused || kind == RoutedEndKind::wrong_incarnation ||
-                         kind == RoutedEndKind::unsent;
+          bool is_sure = kind == RoutedAttemptOutcome::refused || kind == RoutedAttemptOutcome::wrong_incarnation ||
+                         kind == RoutedAttemptOutcome::not_sent;
           found->second.all_sure = found->second.all_sure && is_sure;
-          if (kind == RoutedEndKind::answered)
+          if (kind == RoutedAttemptOutcome::completed)
             at.calls.erase(found);
         }
         at.dispatcher->on_attempt_finished(end, now);
       });
     if (random.chance(0.02))
       plan(daemon, Duration{random.below(300)}, [this, index](Daemon& at) {
-        at.dispatcher->caller_gone(index, now);
+        at.dispatcher->on_caller_disconnected(index, now);
         auto found = at.calls.find(index);
         if (found == at.calls.end())
           return;
-        auto stops = at.dispatcher->take_stops();
+        auto stops = at.dispatcher->drain_cancellations();
         RC_ASSERT(stops.size() == (found->second.is_sent ? 1u : 0u));
         at.calls.erase(found);
       });
   }
 
   void collect(Daemon& daemon) {
-    for (const auto& stop : daemon.dispatcher->take_stops()) {
+    for (const auto& stop : daemon.dispatcher->drain_cancellations()) {
       auto entry = daemon.calls.find(stop.call);
-      RC_ASSERT(entry != daemon.calls.end() && entry->second.is_sent && entry->second.turn == stop.turn);
+      RC_ASSERT(entry != daemon.calls.end() && entry->second.is_sent &&
+                entry->second.attempt_number == stop.attempt_number);
       entry->second.is_sent = entry->second.all_sure = false;
     }
-    for (const auto& send : daemon.dispatcher->take_sends())
+    for (const auto& send : daemon.dispatcher->drain_attempts())
       take_send(daemon, send);
-    for (const auto& act : daemon.dispatcher->take_finals()) {
+    for (const auto& act : daemon.dispatcher->drain_final_responses()) {
       auto entry = daemon.calls.find(act.call);
       RC_ASSERT(entry != daemon.calls.end());  // ends once
       RC_ASSERT(!entry->second.is_sent);
       RC_ASSERT(act.may_have_run || entry->second.all_sure);  // "surely not run" is true
       daemon.calls.erase(entry);
     }
-    RC_ASSERT(daemon.dispatcher->in_hand() == daemon.calls.size());
+    RC_ASSERT(daemon.dispatcher->open_calls() == daemon.calls.size());
   }
 
   void arrive(Daemon& daemon) {
@@ -1000,7 +1006,7 @@
     if (random.chance(0.3))
       call.prompt = {{static_cast<std::uint64_t>(random.below(5)), 500 + random.below(4000)},
                      {static_cast<std::uint64_t>(index) + 1000, 100}};
-    InHand known;
+    OpenCallTotals known;
     known.is_repeatable = name != "once";
     daemon.calls[index] = known;
     if (daemon.dispatcher->admit(call, now, index))
@@ -1040,7 +1046,7 @@
                 calls = grant.requests;
             daemon.shares[name].emplace_back(now, row.status == "cold" ? calls : 0);
           }
-          daemon.dispatcher->see(letter.view, now);
+          daemon.dispatcher->update_view(letter.view, now);
           collect(daemon);
         }
       }
@@ -1145,7 +1151,7 @@
   day.check_resends();
   for (const auto& daemon : day.daemons) {
     RC_ASSERT(daemon.calls.empty());
-    RC_ASSERT(daemon.dispatcher->in_hand() == 0u);  // (e)
+    RC_ASSERT(daemon.dispatcher->open_calls() == 0u);  // (e)
   }
   RC_TAG(day.warmup_sends.empty() ? "no cold sends" : "cold sends");
 }
--- a/packages/data-plane/src/call_fields.cpp
+++ b/packages/data-plane/src/call_fields.cpp
@@ -10,12 +10,12 @@
 
 std::vector<PromptPart> read_prompt(const std::string& text) {
   std::vector<PromptPart> parts;
-  each_part(text, [&](std::string_view part) {
+  for_each_list_item(text, [&](std::string_view part) {
     auto colon = part.find(':');
     if (colon == std::string_view::npos)
       return false;
-    auto id = hex_of(trimmed(part.substr(0, colon)));
-    auto tokens = number_of(trimmed(part.substr(colon + 1)));
+    auto id = parse_hex(trimmed(part.substr(0, colon)));
+    auto tokens = parse_number(trimmed(part.substr(colon + 1)));
     if (!id || !tokens)
       return false;
     parts.push_back({*id, *tokens});
@@ -28,8 +28,8 @@
 std::array<std::int64_t, Count> read_numbers(const std::string& text) {
   std::array<std::int64_t, Count> numbers{};
   std::size_t at = 0;
-  each_part(text, [&](std::string_view part) {
-    numbers[at++] = number_of(part).value_or(0);
+  for_each_list_item(text, [&](std::string_view part) {
+    numbers[at++] = parse_number(part).value_or(0);
     return at < Count;
   });
   return numbers;
@@ -38,7 +38,7 @@
 template std::array<std::int64_t, 3> read_numbers<3>(const std::string&);
 
 std::optional<Duration> read_deadline(const std::string& text) {
-  auto number = number_of(trimmed(text));
+  auto number = parse_number(trimmed(text));
   if (!number || *number <= 0)
     return std::nullopt;
   return Duration{*number};
--- a/packages/data-plane/src/call_fields.hpp
+++ b/packages/data-plane/src/call_fields.hpp
@@ -1,4 +1,4 @@
-// The header fields that tell of a call: its prompt, its tokens, its deadline.
+// The header fields that describe a call: its prompt, its tokens, its deadline.
 #pragma once
 #include <array>
 #include <optional>
--- a/packages/data-plane/src/call_relay.hpp
+++ b/packages/data-plane/src/call_relay.hpp
@@ -1,5 +1,6 @@
-// The I/O of calls: taking them in, sending them to runners, relaying what comes back.
+// The I/O of calls: accepting them, sending them to runners, relaying what comes back.
 #pragma once
+#include <absl/base/thread_annotations.h>
 #include <cpprest/http_client.h>
 #include <cpprest/http_listener.h>
 #include <cpprest/producerconsumerstream.h>
@@ -7,123 +8,150 @@
 #include <atomic>
 #include <memory>
 #include <mutex>
+#include <optional>
 #include <string>
 #include <thread>
 #include <variant>
 
+#include "control_snapshot.hpp"
 #include "emberdale/bounded_queue.hpp"
 #include "emberdale/call_dispatcher.hpp"
 #include "emberdale/runner_seal.hpp"
 
 namespace emberdale {
 
-// What the control thread hands to the traffic thread: the newest view and grant, swapped whole.
-class ControlSnapshot {
- public:
-  // Example: word.put(daemon.view(), daemon.grant());
-  void put(std::shared_ptr<const RoutingView> view, const Grant& grant) {
-    std::lock_guard<std::mutex> guard(mutex_);
-    view_ = std::move(view);
-    grant_ = grant;
-  }
-  // Example: auto [view, grant] = word.get();
-  std::pair<std::shared_ptr<const RoutingView>, Grant> get() const {
-    std::lock_guard<std::mutex> guard(mutex_);
-    return {view_, grant_};
-  }
-
- private:
-  mutable std::mutex mutex_;
-  std::shared_ptr<const RoutingView> view_ = std::make_shared<RoutingView>();
-  Grant grant_;
-};
-
-// One call in hand: the caller's request and what has been relayed of the answer.
+// One open call: the client's request and what has been relayed of the response.
 struct CallHandle {
   CallIndex index = 0;
-  std::string id;         // this system's own, the same for every send of the call
-  std::string caller_id;  // the caller's, acknowledged
+  std::string id;         // this system's own, the same for every attempt of the call
+  std::string caller_id;  // the client's, returned with the response
   web::http::http_request request;
   std::vector<unsigned char> body;
   std::string content_type;
-  std::atomic<bool> is_answered{false};
-  std::atomic<bool> is_caller_gone{false};
-  // Of a streamed reply.
-  std::mutex stream_mutex;
+  std::atomic<bool> is_response_started{false};
+  std::atomic<bool> is_caller_disconnected{false};
+  // Of a streamed response; used by one continuation at a time.
   bool is_stream_open = false;
   concurrency::streams::producer_consumer_buffer<std::uint8_t> pieces;
 };
 
-// The stages accept -> gate -> match -> send -> relay, joined by bounded queues.
-// Example: CallRelay relay(dispatcher_settings, word, "127.0.0.1:80"); relay.open(); ... relay.stop();
+// The stages accept -> admission -> endpoint selection -> attempt -> relay, joined by bounded queues. The dispatcher
+// runs on one thread of the relay's own; the library's threads read and write.
+//
+// Use: CallRelay relay(dispatcher_settings, snapshot, "127.0.0.1:80"); relay.open(); ... relay.stop(Duration{5000});
 class CallRelay {
  public:
-  CallRelay(DispatcherSettings settings, const ControlSnapshot& snapshot, const std::string& http);
+  CallRelay(DispatcherSettings settings, const ControlSnapshot& snapshot, const std::string& http_address);
   ~CallRelay();
+  // Listens for clients; a failure says why the address can't be used.
   Outcome<bool> open();
-  // Finishes or definitely refuses what is in hand. Example: relay.stop(Duration{5000});
-  void stop(Duration patience);
-  std::function<void(web::http::http_request)> on_own_path;  // /emberdale/... requests
+  // Finishes what is open, or refuses it with certainty, within the timeout.
+  void stop(Duration timeout);
+  // Takes requests for the daemon itself, below /emberdale.
+  std::function<void(web::http::http_request)> on_own_path;
   CallDispatcher::Counts counts() const;
   struct RelayCounts {
     std::atomic<std::int64_t> bad_seals{0}, streams_broken{0}, connections_broken{0}, callers_gone{0}, pieces{0},
         deadlines_passed{0}, accept_refused{0};
   };
   const RelayCounts& relay_counts() const { return relay_counts_; }
-  std::size_t in_hand() const { return in_hand_; }
+  std::size_t open_calls() const { return open_calls_; }
 
  private:
-  struct Arrived {
+  // Events for the dispatch thread.
+  struct CallArrived {
     std::shared_ptr<CallHandle> handle;
     ArrivingCall call;
   };
-  struct Ended {
-    SendEnd end;
+  struct AttemptFinished {
+    AttemptResult result;
   };
-  struct Gone {
+  struct CallerDisconnected {
     CallIndex index;
   };
-  struct Piece {
+  struct StreamOpened {
     CallIndex index;
   };
-  using RoutedEvent = std::variant<Arrived, Ended, Gone, Piece>;
-  struct Sent {
+  using DispatchEvent = std::variant<CallArrived, AttemptFinished, CallerDisconnected, StreamOpened>;
+  struct ActiveAttempt {
     std::shared_ptr<CallHandle> handle;
     pplx::cancellation_token_source stop;
     TimePoint deadline;
     bool is_stopped = false;
   };
-  struct Relay;  // one streamed reply on its way
+  // The daemon's own response to a request that it does not admit.
+  struct Refusal {
+    int code = 503;
+    std::string reason;
+    int retry_after_s = 0;  // 0: a retry is of no use
+  };
+  struct StreamRelay;  // one streamed response on its way
+  struct StreamChunk;  // what one read of it brought
 
+  // Accepting calls: call_relay_admission.cpp
   void handle(web::http::http_request request);
-  void run_routed_requests();
-  void act(TimePoint now);
-  void send(const SendAct& act, TimePoint now);
-  void end(CallIndex index, SendEndKind kind, const std::string& reason, const web::http::http_response* response);
-  void accept_response(const SendAct& act, std::shared_ptr<CallHandle> handle, web::http::http_response response,
-                       pplx::cancellation_token stop);
-  void take_stream(const SendAct& act, std::shared_ptr<CallHandle> handle, web::http::http_response response,
+  std::optional<Refusal> refusal_of(const web::http::http_request& request) const;
+  std::optional<Refusal> read_call_fields(const web::http::http_request& request, CallHandle& handle,
+                                          ArrivingCall& call) const;
+  void read_body(std::shared_ptr<CallHandle> handle, ArrivingCall call);
+  void enqueue_arrival(std::shared_ptr<CallHandle> handle, ArrivingCall call);
+
+  // The dispatch thread: call_relay.cpp
+  void run_dispatcher();
+  void apply_snapshot(TimePoint now);
+  void on_event(CallArrived& arrived, TimePoint now);
+  void on_event(const AttemptFinished& finished, TimePoint now);
+  void on_event(const CallerDisconnected& disconnected, TimePoint now);
+  void on_event(const StreamOpened& opened, TimePoint now);
+  void on_timer(TimePoint now);
+  void stop_overdue_attempts(TimePoint now);
+  void publish_counts();
+  void execute_actions(TimePoint now);
+  void send_final_response(const FinalResponse& final_response, const std::shared_ptr<CallHandle>& handle);
+
+  // Attempts and short responses: call_relay_attempts.cpp
+  void start_attempt(const CallAttempt& attempt, TimePoint now);
+  web::http::http_request request_to_runner(const CallAttempt& attempt, const CallHandle& handle, TimePoint now) const;
+  std::shared_ptr<web::http::client::http_client> client_for(const CallAttempt& attempt);
+  void on_attempt_failed(const CallAttempt& attempt, const CallHandle& handle, const pplx::cancellation_token& stop,
+                         const std::exception& fault);
+  void on_response(const CallAttempt& attempt, std::shared_ptr<CallHandle> handle, web::http::http_response response,
                    pplx::cancellation_token_source stop);
-  void relay_next(std::shared_ptr<Relay> relay);
-  void answer_final(const FinalAct& act, const std::shared_ptr<CallHandle>& handle);
-  std::shared_ptr<web::http::client::http_client> client_for(const SendAct& act);
+  void relay_response(const CallAttempt& attempt, std::shared_ptr<CallHandle> handle, web::http::http_response response,
+                      pplx::cancellation_token stop);
+  void on_body_failed(const CallAttempt& attempt, const CallHandle& handle, const pplx::cancellation_token& stop);
+  void forward_response(const CallAttempt& attempt, const std::shared_ptr<CallHandle>& handle,
+                        const web::http::http_response& response, const std::string& body);
+  void finish_attempt(CallIndex index, AttemptOutcome outcome, const std::string& reason,
+                      const web::http::http_response* response);
+
+  // Streamed responses: call_relay_streams.cpp
+  void relay_stream(const CallAttempt& attempt, std::shared_ptr<CallHandle> handle, web::http::http_response response,
+                    pplx::cancellation_token_source stop);
+  void relay_next(std::shared_ptr<StreamRelay> stream);
+  StreamChunk check_chunk(StreamRelay& stream, std::size_t size, bool is_broken);
+  void relay_chunk(const std::shared_ptr<StreamRelay>& stream, StreamChunk chunk);
+  void open_stream(const StreamRelay& stream);
+  void close_stream(StreamRelay& stream, const StreamChunk& chunk);
 
   DispatcherSettings settings_;
   const ControlSnapshot& snapshot_;
   web::http::experimental::listener::http_listener listener_;
+  // Of the dispatch thread alone, up to clients_.
   CallDispatcher dispatcher_;
-  BoundedQueue<RoutedEvent> events_{4096};
-  std::thread traffic_;
-  std::map<CallIndex, std::shared_ptr<CallHandle>> handles_;  // of the traffic thread
-  std::map<CallIndex, Sent> sent_;                            // of the traffic thread
+  std::shared_ptr<const RoutingView> view_;
+  std::map<CallIndex, std::shared_ptr<CallHandle>> handles_;
+  std::map<CallIndex, ActiveAttempt> active_attempts_;
   std::map<std::string, std::shared_ptr<web::http::client::http_client>> clients_;
+  BoundedQueue<DispatchEvent> events_{4096};
+  std::thread dispatch_thread_;
   std::atomic<CallIndex> last_index_{0};
-  std::atomic<std::size_t> in_hand_{0}, being_read_{0};
+  std::atomic<std::size_t> open_calls_{0}, bodies_being_read_{0};
   std::atomic<bool> is_stopping_{false};
   std::atomic<std::int64_t> widest_prefix_{0}, largest_body_{1 << 20};
   RelayCounts relay_counts_;
   mutable std::mutex counts_mutex_;
-  CallDispatcher::Counts counts_;
+  CallDispatcher::Counts counts_ ABSL_GUARDED_BY(counts_mutex_);
 };
 
 }  // namespace emberdale
--- a/packages/data-plane/src/data_daemon.cpp
+++ b/packages/data-plane/src/data_daemon.cpp
@@ -1,22 +1,33 @@
 #include "emberdale/data_daemon.hpp"
 
 #include <algorithm>
+#include <variant>
 
 #include "emberdale/placement_map.hpp"
 #include "emberdale/warmup_shares.hpp"
 
 namespace emberdale {
 namespace {
-constexpr Duration ping_pace{500}, request_interval{500}, hurried_pace{100}, subscribe_pace{400};
-constexpr Duration seeking_pace{100};  // between pings while no map is known: the seeds may be starting as well
-constexpr Duration alive_timeout{2000}, silent_home{1300}, ejection_time{3000}, outdated_timeout{700};
-constexpr Duration named_lifetime{
-    1000};  // another control daemon's word may be ahead of the home's by the way it has to go
+
+constexpr Duration ping_interval{500}, subscribe_interval{400};
+constexpr Duration discovery_interval{100};  // between pings while no map is known: the seeds may be starting as well
+constexpr Duration request_interval{500}, urgent_request_interval{100};  // with a grant, and without one
+constexpr Duration alive_timeout{2000};                                  // after the last message of a control daemon
+constexpr Duration owner_silence_timeout{1300}, owner_outdated_timeout{700};
+constexpr Duration owner_ejection_time{3000}, refused_owner_ejection_time{1000};
+// A control daemon's word may be ahead of a shard owner's update by the way that the update has to go.
+constexpr Duration named_version_timeout{1000};
+constexpr int random_pings = 2;
+
+std::string owner_fields(const std::string& topic, const Address& owner) {
+  return "topic=" + topic + " owner=" + owner.text;
+}
+
 }  // namespace
 
 void DataDaemon::start(TimePoint now) {
   for (const auto& seed : seeds_)
-    known_[seed].entry.address = seed;
+    known_daemons_[seed].entry.address = seed;
   ping_next_ = request_next_ = subscribe_next_ = started_at_ = now;
   on_timer(now);
 }
@@ -26,268 +37,327 @@
   subscribe(now);
 }
 
-// The register shows a minimum version above this map, or another control daemon names a newer one, and no home has
-// brought it: they may follow a master that is cut off with them. Others are asked.
-void DataDaemon::leave_outdated_homes(TimePoint now) {
-  if (keeps_outdated_homes)
+// --- Messages ---------------------------------------------------------------------------------------
+
+void DataDaemon::on_message(const Address& from, const Message& message, TimePoint now) {
+  std::visit([&](const auto& received) { handle(from, received, now); }, message);
+}
+
+// A control daemon that remembers this one from before its start; its own seeds may all be gone.
+void DataDaemon::handle(const Address& from, const PingRequest& ping, TimePoint now) {
+  record_contact(from, ping.sender, ping.version, now);
+}
+
+void DataDaemon::handle(const Address& from, const PingResponse& response, TimePoint now) {
+  record_contact(from, response.sender, response.version, now);
+  bool is_new = false;
+  for (const auto& entry : response.known_daemons)
+    if (known_daemons_[entry.address].entry.role.empty()) {
+      known_daemons_[entry.address].entry = entry;
+      is_new = true;
+    }
+  lease_manager_.learn_acceptors(response.acceptors);
+  if (!view()->edges.empty())
+    return;
+  // Until there is a map no interval is waited for: who responds is subscribed to, who is named is pinged.
+  if (is_new)
+    ping_control_daemons_in_zone();
+  if (response.sender.role == "edge")
+    subscribe_next_ = now;
+}
+
+void DataDaemon::handle(const Address&, const ReadResponse& response, TimePoint now) {
+  lease_manager_.on_response(response, slice_cache_.version(), now);
+}
+
+void DataDaemon::handle(const Address&, const LeaseGrant& lease_grant, TimePoint) {
+  lease_manager_.on_lease_grant(lease_grant, slice_cache_.version());
+}
+
+void DataDaemon::handle(const Address&, const DispatchBlock& block, TimePoint now) {
+  if (block.is_lifted) {
+    if (active_blocks_.erase(block.change_id) != 0)
+      rebuild_view(now);
+    return;
+  }
+  auto [active, is_new] = active_blocks_.insert({block.change_id, {block, {}}});
+  active->second.until = now + block_duration;
+  if (!is_new)
     return;
-  const auto& since = keeper_.behind_since();
-  bool is_behind_register = since && now - *since >= outdated_timeout;
-  bool is_behind_others = awaited_ && now - awaited_->since >= named_lifetime;
-  for (const auto& known : book_.known()) {
-    const Home& home = homes_[known.topic];
-    bool is_outdated =
-        is_behind_register || (is_behind_others && known.version != MapVersion{} && known.version < awaited_->version);
-    if (is_outdated && !home.address.empty() && now - home.since >= outdated_timeout)
-      eject_owner(known.topic, home, now);
+  ++counts_.blocks_applied;
+  journal_.append(now, "barred", block.runner.empty() ? "zone=" + block.zone.text : "runner=" + block.runner.text);
+  rebuild_view(now);
+}
+
+void DataDaemon::handle(const Address& from, const SliceUpdate& update, TimePoint now) {
+  ++counts_.updates;
+  auto topics = slice_cache_.topics();
+  std::int64_t revision = view()->config_revision;
+  bool is_subscribed = std::find(topics.begin(), topics.end(), update.topic) != topics.end();
+  bool is_applied = is_subscribed && slice_cache_.apply(update);
+  if (is_applied) {
+    ++counts_.updates_applied;
+    rebuild_view(now);
+    lease_manager_.on_version(slice_cache_.version());
+    if (named_version_ && !(slice_cache_.oldest_version() < named_version_->version))
+      named_version_.reset();
   }
+  confirm_owner(from, update, now);
+  if (!is_applied)
+    return;
+  bool is_new_revision = view()->config_revision != revision;
+  if (is_new_revision)
+    journal_.append(now, "in_force",
+                    "version=" + show(slice_cache_.version()) + " config=" + std::to_string(view()->config_revision));
+  // A new revision: the shard owners, and through them the operators, hear of it at once.
+  if (is_new_revision || slice_cache_.topics() != topics)
+    subscribe(now);
 }
 
-void DataDaemon::eject_owner(const std::string& topic, const Home& home, TimePoint now) {
-  shunned_[home.address] = now + ejection_time;
-  ++counts_.homes_outdated;
-  journal_.append(now, "home_outdated", topic + " at " + home.address.text);
+// --- Discovery of control daemons -------------------------------------------------------------------
+
+void DataDaemon::record_contact(const Address& from, const DaemonEntry& sender, const MapVersion& version,
+                                TimePoint now) {
+  KnownDaemon& known = known_daemons_[from];
+  known.entry = sender;
+  known.last_heard_at = now;
+  observe_named_version(sender, version, now);
 }
 
-// Any control daemon's word counts: a home that is cut off from the master can't know that it is.
+// Any control daemon's word counts: a shard owner that is cut off from the master can't know that it is.
 void DataDaemon::observe_named_version(const DaemonEntry& sender, const MapVersion& version, TimePoint now) {
-  if (sender.role == "edge" && !awaited_ && book_.oldest_version() < version)
-    awaited_ = NamedVersion{version, now};
+  if (sender.role == "edge" && !named_version_ && slice_cache_.oldest_version() < version)
+    named_version_ = NamedVersion{version, now};
 }
 
-std::vector<std::string> DataDaemon::live_edges(TimePoint now) const {
-  std::vector<std::string> near, all;
-  // Who lives is the leader lease, in the map; before there is a map, whoever answered a ping.
-  for (const auto& edge : view()->edges) {
-    auto shunned = shunned_.find(edge.daemon);
-    if (shunned != shunned_.end() && now < shunned->second)
-      continue;
-    all.push_back(edge.daemon.text);
-    if (edge.zone == self_.zone)
-      near.push_back(edge.daemon.text);
-  }
-  if (!near.empty())
-    return near;
-  for (const auto& [address, known] : known_) {
-    if (known.entry.role != "edge" || now - known.heard > alive_timeout)
-      continue;
-    auto shunned = shunned_.find(address);
-    if (shunned != shunned_.end() && now < shunned->second)
+bool DataDaemon::is_ejected(const Address& control_daemon, TimePoint now) const {
+  auto ejected = ejected_owners_.find(control_daemon);
+  return ejected != ejected_owners_.end() && now < ejected->second;
+}
+
+// The control daemons that hold the leader lease's word that they live, by the map.
+std::vector<std::string> DataDaemon::listed_control_daemons(bool is_zone_required, TimePoint now) const {
+  std::vector<std::string> listed;
+  for (const auto& edge : view()->edges)
+    if (!is_ejected(edge.daemon, now) && (!is_zone_required || edge.zone == self_.zone))
+      listed.push_back(edge.daemon.text);
+  return listed;
+}
+
+// The control daemons that responded to a ping lately.
+std::vector<std::string> DataDaemon::responding_control_daemons(bool is_zone_required, TimePoint now) const {
+  std::vector<std::string> responding;
+  for (const auto& [address, known] : known_daemons_) {
+    if (known.entry.role != "edge" || now - known.last_heard_at > alive_timeout || is_ejected(address, now))
       continue;
-    all.push_back(address.text);
-    if (known.entry.zone == self_.zone)
-      near.push_back(address.text);
+    if (!is_zone_required || known.entry.zone == self_.zone)
+      responding.push_back(address.text);
   }
-  if (near.empty() && all.empty()) {
-    // All of them were shunned: one that is slow is still better than none.
+  return responding;
+}
+
+// Those of this zone, by the map or by their responses; else those of all zones, by both.
+std::vector<std::string> DataDaemon::live_control_daemons(TimePoint now) const {
+  auto in_zone = listed_control_daemons(true, now);
+  if (!in_zone.empty())
+    return in_zone;
+  in_zone = responding_control_daemons(true, now);
+  if (!in_zone.empty())
+    return in_zone;
+  auto all = listed_control_daemons(false, now);
+  auto responding = responding_control_daemons(false, now);
+  all.insert(all.end(), responding.begin(), responding.end());
+  if (all.empty())  // all of them are ejected: one that is slow is still better than none
     for (const auto& edge : view()->edges)
       all.push_back(edge.daemon.text);
-  }
-  return near.empty() ? all : near;
+  return all;
 }
 
-// Each service's home in this zone is subscribed to; a home that went silent is left for the next.
-void DataDaemon::subscribe(TimePoint now) {
-  std::map<Address, std::vector<TopicVersion>> by_home;
-  auto live = live_edges(now);
-  std::map<std::string, Home> homes;
-  for (const auto& known : book_.known()) {
-    Home home = homes_[known.topic];
-    if (!home.address.empty() && now - std::max(home.since, home.news) > silent_home) {
-      shunned_[home.address] = now + ejection_time;
-      live.erase(std::remove(live.begin(), live.end(), home.address.text), live.end());
-      journal_.append(now, "home_silent", known.topic + " at " + home.address.text);
-      ++counts_.homes_left;
-      home = Home{};
-    }
-    auto ranked = rendezvous_rank("home:" + known.topic, live);
-    if (!ranked.empty() && ranked.front() != home.address.text)
-      home = Home{Address{ranked.front()}, now, TimePoint{-100000}};
-    if (!home.address.empty())
-      by_home[home.address].push_back(known);
-    homes[known.topic] = home;
-  }
-  homes_ = std::move(homes);
-  keep_warmup_shares();
-  bool is_granted = now < grant().until && grant().minimum_version <= book_.version();
-  for (auto& [home, topics] : by_home)
-    out_.push_back({home, Subscribe{self_, std::move(topics), book_.version(), view()->config_revision, is_granted,
-                                    is_leaving_, now.value}});
+void DataDaemon::ping(const Address& address) {
+  outbound_.push_back({address, PingRequest{0, self_, {}, slice_cache_.version()}});
 }
 
-void DataDaemon::on_message(const Address& from, const Message& message, TimePoint now) {
-  if (const auto* ping = std::get_if<PingRequest>(&message)) {
-    // One that remembers this daemon from before its start; its own seeds may all be gone.
-    auto& known = known_[from];
-    known.entry = ping->sender;
-    known.heard = now;
-    observe_named_version(ping->sender, ping->version, now);
+void DataDaemon::ping_control_daemons_in_zone() {
+  for (const auto& [address, known] : known_daemons_)
+    if (known.entry.role == "edge" && known.entry.zone == self_.zone)
+      ping(address);
+}
+
+// Pings the control daemons that matter now, and two others at random.
+void DataDaemon::ping_due(TimePoint now) {
+  bool has_map = !view()->edges.empty();
+  ping_next_ = now + (has_map ? ping_interval : discovery_interval);
+  std::vector<Address> others;
+  for (const auto& [address, known] : known_daemons_) {
+    bool is_needed = !has_map && known.entry.role == "edge" && known.entry.zone == self_.zone;
+    bool is_seed = std::find(seeds_.begin(), seeds_.end(), address) != seeds_.end();
+    if (is_needed || (is_seed && now - known.last_heard_at > alive_timeout))
+      ping(address);
+    else
+      others.push_back(address);
   }
-  if (const auto* response = std::get_if<PingResponse>(&message)) {
-    auto& known = known_[from];
-    known.entry = response->sender;
-    known.heard = now;
-    observe_named_version(response->sender, response->version, now);
-    bool is_new = false;
-    for (const auto& entry : response->known_daemons)
-      if (known_[entry.address].entry.role.empty()) {
-        known_[entry.address].entry = entry;
-        is_new = true;
-      }
-    keeper_.learn_acceptors(response->acceptors);
-    // Until there is a map nothing waits for its pace: who answers is subscribed to, who is named is pinged.
-    if (view()->edges.empty()) {
-      if (is_new)
-        ping_near();
-      if (response->sender.role == "edge")
-        subscribe_next_ = now;
-    }
+  for (int i = 0; i < random_pings && !others.empty(); ++i)
+    ping(others[static_cast<std::size_t>(random_.below(static_cast<std::int64_t>(others.size())))]);
+}
+
+void DataDaemon::on_refused(const Address& peer, TimePoint now) {
+  auto known = known_daemons_.find(peer);
+  if (known != known_daemons_.end())
+    known->second.last_heard_at = TimePoint{now.value - alive_timeout.value - 1};
+  bool is_owner = std::any_of(shard_owners_.begin(), shard_owners_.end(),
+                              [&](const auto& entry) { return entry.second.address == peer; });
+  if (!is_owner)
+    return;
+  ejected_owners_[peer] = now + refused_owner_ejection_time;  // until it is back, or the map leaves it out
+  ++counts_.owners_ejected;
+  journal_.append(now, "home_gone", "owner=" + peer.text);
+  subscribe(now);
+}
+
+// --- Shard owners -----------------------------------------------------------------------------------
+
+// Keeps the topic's shard owner, or assigns the first by rank; one that went silent is ejected.
+DataDaemon::ShardOwner DataDaemon::assign_owner(const std::string& topic, std::vector<std::string>& live,
+                                                TimePoint now) {
+  ShardOwner owner = shard_owners_[topic];
+  TimePoint last_sign = std::max(owner.assigned_at, owner.last_update_at);
+  if (!owner.address.empty() && now - last_sign > owner_silence_timeout) {
+    ejected_owners_[owner.address] = now + owner_ejection_time;
+    live.erase(std::remove(live.begin(), live.end(), owner.address.text), live.end());
+    journal_.append(now, "home_silent", owner_fields(topic, owner.address));
+    ++counts_.owners_ejected;
+    owner = ShardOwner{};
   }
-  if (const auto* response = std::get_if<ReadResponse>(&message))
-    keeper_.on_response(*response, book_.version(), now);
-  if (const auto* lease_grant = std::get_if<LeaseGrant>(&message))
-    keeper_.on_lease_grant(*lease_grant, book_.version());
-  if (const auto* block = std::get_if<DispatchBlock>(&message))
-    apply_block(*block, now);
-  if (const auto* update = std::get_if<SliceUpdate>(&message))
-    drain_updates(from, *update, now);
-}
-
-void DataDaemon::drain_updates(const Address& from, const SliceUpdate& update, TimePoint now) {
-  ++counts_.news;
-  auto topics = book_.topics();
-  std::int64_t revision = view()->config_revision;
-  bool is_used = std::find(topics.begin(), topics.end(), update.topic) != topics.end() && book_.apply(update);
-  if (is_used) {
-    ++counts_.news_used;
-    fold_view(now);
-    keeper_.on_version(book_.version());
-    if (awaited_ && !(book_.oldest_version() < awaited_->version))
-      awaited_.reset();
+  auto ranked = rendezvous_rank("home:" + topic, live);
+  if (!ranked.empty() && ranked.front() != owner.address.text)
+    owner = ShardOwner{Address{ranked.front()}, now};
+  return owner;
+}
+
+void DataDaemon::subscribe(TimePoint now) {
+  std::map<Address, std::vector<TopicVersion>> topics_by_owner;
+  std::map<std::string, ShardOwner> owners;
+  auto live = live_control_daemons(now);
+  for (const auto& known : slice_cache_.known()) {
+    ShardOwner owner = assign_owner(known.topic, live, now);
+    if (!owner.address.empty())
+      topics_by_owner[owner.address].push_back(known);
+    owners[known.topic] = owner;
   }
-  confirm_home(from, update, now);
-  if (is_used && view()->config_revision != revision) {
-    journal_.append(now, "in_force", show(book_.version()) + " config " + std::to_string(view()->config_revision));
-    subscribe(now);  // the homes, and through them the operators, hear of it at once
-  } else if (is_used && book_.topics() != topics) {
-    subscribe(now);
+  shard_owners_ = std::move(owners);
+  update_warmup_deadline();
+  for (auto& [address, topics] : topics_by_owner)
+    outbound_.push_back({address, Subscribe{self_, std::move(topics), slice_cache_.version(), view()->config_revision,
+                                            is_granted(now), is_leaving_, now.value}});
+}
+
+// The register shows a minimum version above this map, or another control daemon names a newer one, and no shard owner
+// has brought it: they may follow a master that is cut off with them. Others are subscribed to.
+void DataDaemon::leave_outdated_owners(TimePoint now) {
+  if (keeps_outdated_owners)
+    return;
+  const auto& since = lease_manager_.outdated_since();
+  bool is_behind_register = since && now - *since >= owner_outdated_timeout;
+  bool is_behind_others = named_version_ && now - named_version_->since >= named_version_timeout;
+  for (const auto& known : slice_cache_.known()) {
+    const ShardOwner& owner = shard_owners_[known.topic];
+    bool is_topic_behind = is_behind_others && known.version != MapVersion{} && known.version < named_version_->version;
+    bool is_outdated = is_behind_register || is_topic_behind;
+    if (is_outdated && !owner.address.empty() && now - owner.assigned_at >= owner_outdated_timeout)
+      eject_outdated_owner(known.topic, owner, now);
   }
 }
 
-// What the news says of its master holds from the stamp of ours that its sender had seen: the news itself may have
-// waited in a paused process. It confirms nothing for rows of another version, nor in another life of this daemon.
-void DataDaemon::confirm_home(const Address& from, const SliceUpdate& update, TimePoint now) {
-  auto entry = homes_.find(update.topic);
-  if (entry == homes_.end() || entry->second.address != from)
+void DataDaemon::eject_outdated_owner(const std::string& topic, const ShardOwner& owner, TimePoint now) {
+  ejected_owners_[owner.address] = now + owner_ejection_time;
+  ++counts_.owners_outdated;
+  journal_.append(now, "home_outdated", owner_fields(topic, owner.address));
+}
+
+// What an update says of its master holds from this daemon's timestamp that its sender had seen: the update itself may
+// have waited in a paused process. It confirms nothing for rows of another version, nor in another incarnation.
+void DataDaemon::confirm_owner(const Address& from, const SliceUpdate& update, TimePoint now) {
+  auto entry = shard_owners_.find(update.topic);
+  if (entry == shard_owners_.end() || entry->second.address != from)
     return;
-  Home& home = entry->second;
-  home.news = now;
+  ShardOwner& owner = entry->second;
+  owner.last_update_at = now;
   bool is_of_this_incarnation = started_at_.value <= update.subscribe_sent_at && update.subscribe_sent_at <= now.value;
-  if (is_of_this_incarnation && book_.version_of(update.topic) == update.version)
-    home.master_confirmed = std::max(home.master_confirmed, TimePoint{update.subscribe_sent_at - update.quorum_age_ms});
-  keep_warmup_shares();
+  if (is_of_this_incarnation && slice_cache_.version_of(update.topic) == update.version)
+    owner.master_confirmed_at =
+        std::max(owner.master_confirmed_at, TimePoint{update.subscribe_sent_at - update.quorum_age_ms});
+  update_warmup_deadline();
 }
 
-// Shares of cold runners hold only while every pool's home has heard the master lately.
-void DataDaemon::keep_warmup_shares() {
+// Slow-start quotas hold only while every pool's shard owner has heard the master lately.
+void DataDaemon::update_warmup_deadline() {
   TimePoint until{INT64_MAX};
-  for (const auto& [topic, home] : homes_)
+  for (const auto& [topic, owner] : shard_owners_)
     if (topic != plans_topic)
-      until = std::min(until, home.master_confirmed + WarmupShares::lease);
-  keeper_.set_warming_up_until(until);
+      until = std::min(until, owner.master_confirmed_at + WarmupShares::lease);
+  lease_manager_.set_warming_up_until(until);
 }
 
-void DataDaemon::apply_block(const DispatchBlock& block, TimePoint now) {
-  if (block.is_lifted) {
-    if (holds_.erase(block.change_id) != 0)
-      fold_view(now);
-    return;
-  }
-  auto [held, is_new] = holds_.insert({block.change_id, {block, {}}});
-  held->second.until = now + block_duration;
-  if (!is_new)
+// --- The view and the grant -------------------------------------------------------------------------
+
+void DataDaemon::rebuild_view(TimePoint now) {
+  for (auto entry = active_blocks_.begin(); entry != active_blocks_.end();)
+    entry = entry->second.until <= now ? active_blocks_.erase(entry) : std::next(entry);
+  view_ = slice_cache_.view();
+  if (active_blocks_.empty())
     return;
-  ++counts_.holds_held;
-  journal_.append(now, "barred", block.runner.empty() ? "zone " + block.zone.text : block.runner.text);
-  fold_view(now);
+  auto restricted = std::make_shared<RoutingView>(*view_);
+  for (auto& [name, row] : restricted->runners)
+    for (const auto& [change, active] : active_blocks_) {
+      bool is_runner_blocked = active.block.runner == name;
+      bool is_zone_blocked = !active.block.zone.empty() && active.block.zone == row.zone;
+      if (is_runner_blocked || is_zone_blocked)
+        row.status = is_runner_blocked ? "leaving" : "emptied";
+    }
+  view_ = restricted;
 }
 
-void DataDaemon::fold_view(TimePoint now) {
-  for (auto entry = holds_.begin(); entry != holds_.end();)
-    entry = entry->second.until <= now ? holds_.erase(entry) : std::next(entry);
-  view_ = book_.view();
-  if (holds_.empty())
-    return;
-  auto barred = std::make_shared<RoutingView>(*view_);
-  for (auto& [name, row] : barred->runners)
-    for (const auto& [change, held] : holds_)
-      if (held.block.runner == name || (!held.block.zone.empty() && held.block.zone == row.zone))
-        row.status = held.block.runner == name ? "leaving" : "emptied";
-  view_ = barred;
+bool DataDaemon::is_granted(TimePoint now) const {
+  return now < grant().until && grant().minimum_version <= slice_cache_.version();
 }
 
-void DataDaemon::on_refused(const Address& peer, TimePoint now) {
-  auto known = known_.find(peer);
-  if (known != known_.end())
-    known->second.heard = TimePoint{now.value - alive_timeout.value - 1};
-  bool is_home =
-      std::any_of(homes_.begin(), homes_.end(), [&](const auto& home) { return home.second.address == peer; });
-  if (!is_home)
-    return;
-  shunned_[peer] = now + Duration{1000};  // until it is back, or the map leaves it out
-  ++counts_.homes_left;
-  journal_.append(now, "home_gone", peer.text);
-  subscribe(now);
+void DataDaemon::renew_grant(TimePoint now) {
+  request_next_ = now + request_interval;
+  urgent_request_next_ = now + urgent_request_interval;
+  lease_manager_.request_lease(now, view()->master);
 }
 
-void DataDaemon::ping_near() {
-  for (const auto& [address, known] : known_)
-    if (known.entry.role == "edge" && known.entry.zone == self_.zone)
-      out_.push_back({address, PingRequest{0, self_, {}, book_.version()}});
+void DataDaemon::journal_grant_change(TimePoint now) {
+  bool is_granted_now = is_granted(now);
+  if (is_granted_now == was_granted_)
+    return;
+  was_granted_ = is_granted_now;
+  journal_.append(now, is_granted_now ? "granted" : "grant_lapsed", "version=" + show(slice_cache_.version()));
 }
 
 void DataDaemon::on_timer(TimePoint now) {
-  if (ping_next_ <= now) {
-    ping_next_ = now + (view()->edges.empty() ? seeking_pace : ping_pace);
-    std::vector<Address> others;
-    for (const auto& [address, known] : known_) {
-      bool is_near = view()->edges.empty() && known.entry.role == "edge" && known.entry.zone == self_.zone;
-      bool is_seed = std::find(seeds_.begin(), seeds_.end(), address) != seeds_.end();
-      if (is_near || (is_seed && now - known.heard > alive_timeout))
-        out_.push_back({address, PingRequest{0, self_, {}, book_.version()}});
-      else
-        others.push_back(address);
-    }
-    for (int i = 0; i < 2 && !others.empty(); ++i)
-      out_.push_back({others[static_cast<std::size_t>(random_.below(static_cast<std::int64_t>(others.size())))],
-                      PingRequest{0, self_, {}, book_.version()}});
-  }
-  bool lacks_grant = !(now < grant().until && grant().minimum_version <= book_.version());
-  if (request_next_ <= now || (lacks_grant && hurried_next_ <= now)) {
-    request_next_ = now + request_interval;
-    hurried_next_ = now + hurried_pace;
-    keeper_.ask(now, view()->master);
-  }
+  if (ping_next_ <= now)
+    ping_due(now);
+  if (request_next_ <= now || (!is_granted(now) && urgent_request_next_ <= now))
+    renew_grant(now);
   if (subscribe_next_ <= now) {
-    subscribe_next_ = now + subscribe_pace;
-    leave_outdated_homes(now);
+    subscribe_next_ = now + subscribe_interval;
+    leave_outdated_owners(now);
     subscribe(now);
   }
-  if (std::any_of(holds_.begin(), holds_.end(), [&](const auto& entry) { return entry.second.until <= now; }))
-    fold_view(now);
-  bool is_granted = now < grant().until && grant().minimum_version <= book_.version();
-  if (is_granted != was_granted_) {
-    was_granted_ = is_granted;
-    journal_.append(now, is_granted ? "granted" : "grant_lapsed", show(book_.version()));
-  }
-  for (auto& message : keeper_.drain_outbound())
-    out_.push_back(std::move(message));
+  bool is_block_over = std::any_of(active_blocks_.begin(), active_blocks_.end(),
+                                   [&](const auto& entry) { return entry.second.until <= now; });
+  if (is_block_over)
+    rebuild_view(now);
+  journal_grant_change(now);
+  for (auto& outbound : lease_manager_.drain_outbound())
+    outbound_.push_back(std::move(outbound));
 }
 
 std::vector<OutboundMessage> DataDaemon::drain_outbound() {
-  for (auto& message : keeper_.drain_outbound())
-    out_.push_back(std::move(message));
-  return std::exchange(out_, {});
+  for (auto& outbound : lease_manager_.drain_outbound())
+    outbound_.push_back(std::move(outbound));
+  return std::exchange(outbound_, {});
 }
 
 }  // namespace emberdale
--- a/packages/data-plane/src/data_process.cpp
+++ b/packages/data-plane/src/data_process.cpp
@@ -11,7 +11,7 @@
       timer_interval_(timer_interval),
       daemon_(self, std::move(seeds), static_cast<std::uint64_t>(self.incarnation)) {
   daemon_.journal().on_event = [](const JournalEvent& event) {
-    LOG(INFO) << event.kind << ": " << event.detail;
+    LOG(INFO) << event.kind << " " << event.detail;
   };
   connections_ =
       std::make_unique<PeerConnections>(context_, self_.address, [this](const Address& from, Message message) {
@@ -27,7 +27,7 @@
 Outcome<bool> DataProcess::open() { return connections_->listen(); }
 
 void DataProcess::start() {
-  control_ = std::thread([this] {
+  control_thread_ = std::thread([this] {
     daemon_.start(steady_now());
     flush();
     tick();
@@ -37,24 +37,24 @@
 
 void DataProcess::stop() {
   boost::asio::post(context_, [this] { context_.stop(); });
-  control_.join();
+  control_thread_.join();
 }
 
-void DataProcess::post(std::function<void(DataDaemon&)> act) {
-  boost::asio::post(context_, [this, act = std::move(act)] {
-    act(daemon_);
+void DataProcess::post(std::function<void(DataDaemon&)> action) {
+  boost::asio::post(context_, [this, action = std::move(action)] {
+    action(daemon_);
     flush();
   });
 }
 
 void DataProcess::flush() {
   snapshot_.put(daemon_.view(), daemon_.grant());
-  bool is_new = seen_ != daemon_.view();
-  seen_ = daemon_.view();
+  bool is_new = published_view_ != daemon_.view();
+  published_view_ = daemon_.view();
   if (is_new && on_change)
     on_change();
-  for (auto& message : daemon_.drain_outbound())
-    connections_->send(message.to, message.message);
+  for (auto& outbound : daemon_.drain_outbound())
+    connections_->send(outbound.to, outbound.message);
 }
 
 void DataProcess::tick() {
--- a/packages/data-plane/src/data_process.hpp
+++ b/packages/data-plane/src/data_process.hpp
@@ -1,31 +1,30 @@
-// What every program around a data daemon needs: its one control thread and its links.
+// What every program around a data daemon needs: its control thread and its connections to peers.
 #pragma once
 #include <boost/asio.hpp>
 #include <functional>
 #include <memory>
 #include <thread>
 
-#include "call_relay.hpp"
+#include "control_snapshot.hpp"
 #include "emberdale/data_daemon.hpp"
 #include "emberdale/peer_connections.hpp"
 
 namespace emberdale {
 
-// Example:
-//   DataProcess process(settings.self, settings.seeds, Duration{25}); auto listens = process.open();
-//   CallRelay relay(dispatcher, process.word(), http); process.start(); ... process.stop();
+// Use:
+//   DataProcess process(settings.self, settings.seeds, Duration{25}); auto listening = process.open();
+//   CallRelay relay(dispatcher_settings, process.snapshot(), http_address); process.start(); ... process.stop();
 class DataProcess {
  public:
   DataProcess(DaemonEntry self, std::vector<Address> seeds, Duration timer_interval);
-  // Example: auto listens = process.open(); if (!listens) LOG(ERROR) << listens.reason;
+  // Listens for peers; a failure says why the address can't be used.
   Outcome<bool> open();
   void start();
   void stop();
-  // Does something with the daemon on the control thread. Example: process.post([](DataDaemon& daemon) {
-  // daemon.leave(steady_now()); });
-  void post(std::function<void(DataDaemon&)> act);
+  // Runs an action with the daemon on the control thread.
+  void post(std::function<void(DataDaemon&)> action);
 
-  // The view and the grant for the traffic thread; on_change is called (on the control thread) when they differ.
+  // The view and the grant for the dispatch thread; on_change is called on the control thread after a new view.
   const ControlSnapshot& snapshot() const { return snapshot_; }
   std::function<void()> on_change;
   PeerConnections& connections() { return *connections_; }
@@ -40,10 +39,10 @@
   boost::asio::io_context context_{1};
   boost::asio::steady_timer timer_{context_};
   ControlSnapshot snapshot_;
-  std::shared_ptr<const RoutingView> seen_;
+  std::shared_ptr<const RoutingView> published_view_;
   DataDaemon daemon_;
   std::unique_ptr<PeerConnections> connections_;
-  std::thread control_;
+  std::thread control_thread_;
 };
 
 }  // namespace emberdale
--- a/packages/data-plane/src/event_stream.cpp
+++ b/packages/data-plane/src/event_stream.cpp
@@ -23,10 +23,10 @@
 
 }  // namespace
 
-std::vector<RawEvent> RawCutter::feed(const std::string& bytes) {
-  std::vector<RawEvent> events;
+std::vector<EncodedEvent> EventSplitter::feed(const std::string& bytes) {
+  std::vector<EncodedEvent> events;
   rest_ += bytes;
-  RawEvent event;
+  EncodedEvent event;
   std::size_t begin = 0;
   auto look = [&](std::size_t from, std::size_t size) {
     std::string_view line = std::string_view(rest_).substr(from, size);
@@ -59,19 +59,19 @@
   return events;
 }
 
-std::string EventSieve::pass(const RawEvent& event) {
+std::string ResumeFilter::pass(const EncodedEvent& event) {
   if (is_resumed_ && !event.id.empty() && !is_above(event.id, last_)) {
-    held_.clear();  // what came before it went out before, too
+    waiting_bytes_.clear();  // what came before it went out before, too
     return "";
   }
   bool is_waiting = !has_passed_ && (is_resumed_ ? event.id.empty() : !event.has_data);
-  held_ += event.bytes;
+  waiting_bytes_ += event.bytes;
   if (is_waiting)
     return "";
   has_passed_ = true;
   if (!event.id.empty())
     last_ = event.id;
-  return std::exchange(held_, {});
+  return std::exchange(waiting_bytes_, {});
 }
 
 }  // namespace emberdale
--- a/packages/data-plane/src/event_stream.hpp
+++ b/packages/data-plane/src/event_stream.hpp
@@ -1,4 +1,4 @@
-// The events of a stream (text/event-stream): cutting bytes into whole events, and what of them may go to the caller.
+// Server-sent events (text/event-stream): splitting bytes into whole events, and which of them may go to the client.
 #pragma once
 #include <string>
 #include <utility>
@@ -7,39 +7,38 @@
 namespace emberdale {
 
 // One event of a stream, byte for byte.
-struct RawEvent {
+struct EncodedEvent {
   std::string bytes;  // with the blank line that ends it
   std::string id;
   bool has_data = false;
 };
 
-// Cuts a byte stream into whole events; what has not ended yet waits.
-// Example: RawCutter cutter; cutter.feed("id: 1\ndata: a\n\nid: 2")[0].id == "1"; cutter.rest() == "id: 2"
-class RawCutter {
+// Splits a byte stream into whole events; the bytes of an event that has not ended wait for the rest of it.
+// Example: splitter.feed("id: 1\ndata: a\n\nid: 2") gives the event of id "1", and rest() is "id: 2".
+class EventSplitter {
  public:
-  std::vector<RawEvent> feed(const std::string& bytes);
+  std::vector<EncodedEvent> feed(const std::string& bytes);
   const std::string& rest() const { return rest_; }
 
  private:
   std::string rest_;
-  std::size_t line_begin_ = 0;  // what lies before was looked at
+  std::size_t line_begin_ = 0;  // what lies before has been searched
 };
 
-// What of one runner's stream may go to the caller: on a resumed one nothing that went there before.
-// Example: EventSieve sieve("7"); sieve.pass({"id: 7\n\n", "7", true}) == ""; sieve.pass({"id: 8\n\n", "8", true}) ==
-// "id: 8\n\n"
-class EventSieve {
+// Selects the events of one runner's stream that may go to the client: on a resumed stream none that went there before.
+// Example: after ResumeFilter filter("7") the event of id 7 gives "", and that of id 8 its bytes.
+class ResumeFilter {
  public:
-  explicit EventSieve(std::string last) : last_(std::move(last)), is_resumed_(!last_.empty()) {}
+  explicit ResumeFilter(std::string last) : last_(std::move(last)), is_resumed_(!last_.empty()) {}
   // The bytes that go out now. An event without data or, on a resumed stream, without an id waits for the next one.
-  std::string pass(const RawEvent& event);
-  // At a clean end: what still waits. Example: sieve.finish() == ""
-  std::string finish() { return std::exchange(held_, {}); }
+  std::string pass(const EncodedEvent& event);
+  // At a clean end: what still waits.
+  std::string finish() { return std::exchange(waiting_bytes_, {}); }
   const std::string& last() const { return last_; }
-  std::size_t waiting() const { return held_.size(); }
+  std::size_t waiting() const { return waiting_bytes_.size(); }
 
  private:
-  std::string last_, held_;
+  std::string last_, waiting_bytes_;
   bool is_resumed_, has_passed_ = false;
 };
 
--- a/packages/data-plane/src/http_fields.cpp
+++ b/packages/data-plane/src/http_fields.cpp
@@ -9,7 +9,7 @@
 
 using web::http::http_headers;
 
-std::string header_of(const http_headers& headers, const std::string& name) {
+std::string header_value(const http_headers& headers, const std::string& name) {
   if (name.empty())
     return "";
   auto entry = headers.find(name);
@@ -25,7 +25,7 @@
   return text.substr(begin, text.find_last_not_of(" \t") - begin + 1);
 }
 
-std::optional<std::int64_t> number_of(std::string_view text, std::size_t max_digits) {
+std::optional<std::int64_t> parse_number(std::string_view text, std::size_t max_digits) {
   if (text.empty() || text.size() > max_digits)
     return std::nullopt;
   std::int64_t number = 0;
@@ -37,7 +37,12 @@
   return number;
 }
 
-std::optional<std::uint64_t> hex_of(std::string_view text) {
+std::int64_t number_or_zero(const std::string& text) {
+  constexpr std::size_t max_digits = 18;
+  return parse_number(text, max_digits).value_or(0);
+}
+
+std::optional<std::uint64_t> parse_hex(std::string_view text) {
   if (text.empty() || text.size() > 16)
     return std::nullopt;
   std::uint64_t number = 0;
@@ -53,7 +58,7 @@
   return number;
 }
 
-bool is_of_connection(const std::string& name, const std::string& connection_header) {
+bool is_hop_by_hop(const std::string& name, const std::string& connection_header) {
   static const std::array<const char*, 8> names{"Connection", "Keep-Alive", "Transfer-Encoding", "TE",
                                                 "Trailer",    "Upgrade",    "Content-Length",    "Expect"};
   for (const char* known : names)
@@ -62,20 +67,20 @@
   if (strncasecmp(name.c_str(), "Proxy-", 6) == 0)
     return true;
   bool is_named = false;
-  each_part(connection_header, [&](std::string_view part) {
+  for_each_list_item(connection_header, [&](std::string_view part) {
     is_named = part.size() == name.size() && strncasecmp(part.data(), name.data(), name.size()) == 0;
     return !is_named;
   });
   return is_named;
 }
 
-bool has_clear_length(const http_headers& headers) {
+bool has_unambiguous_length(const http_headers& headers) {
   bool has_length = headers.has("Content-Length");
   if (headers.has("Transfer-Encoding")) {
-    std::string encoding = header_of(headers, "Transfer-Encoding");
+    std::string encoding = header_value(headers, "Transfer-Encoding");
     return !has_length && strcasecmp(std::string(trimmed(encoding)).c_str(), "chunked") == 0;
   }
-  return !has_length || number_of(trimmed(header_of(headers, "Content-Length")));
+  return !has_length || parse_number(trimmed(header_value(headers, "Content-Length")));
 }
 
 void send_reply(const web::http::http_request& request, const web::http::http_response& response,
@@ -95,7 +100,7 @@
   }
 }
 
-void read_off(const web::http::http_response& response) {
+void discard_body(const web::http::http_response& response) {
   response.content_ready().then([](pplx::task<web::http::http_response> done) {
     try {
       done.get();
--- a/packages/data-plane/src/routed_relay.cpp
+++ b/packages/data-plane/src/routed_relay.cpp
@@ -1,4 +1,4 @@
-// The life of the routed relay and its traffic thread, which alone talks to the dispatcher.
+// The lifetime of the routed relay and its dispatch thread, which alone uses the dispatcher.
 #include "routed_relay.hpp"
 
 #include <glog/logging.h>
@@ -11,17 +11,17 @@
 namespace emberdale {
 
 namespace {
-constexpr Duration last_answers_patience{300};         // for what was broken off to be written
-constexpr Duration closed_connections_timeout{10000};  // for what was in hand on links that are closed now
-constexpr int max_events_at_once = 64;                 // before the dispatcher's timer is looked at again
+constexpr Duration last_responses_timeout{300};        // for the responses to aborted calls to be written
+constexpr Duration closed_connections_timeout{10000};  // for open calls on connections that are closed now
+constexpr int max_events_per_round = 64;               // before the dispatcher's timer is checked again
 }  // namespace
 
-RoutedRelay::RoutedRelay(RouteDispatcherSettings settings, RelayHeaderNames words, const ControlSnapshot& snapshot,
-                         const std::string& http)
+RoutedRelay::RoutedRelay(RouteDispatcherSettings settings, RelayHeaderNames header_names,
+                         const ControlSnapshot& snapshot, const std::string& http_address)
     : settings_(settings),
-      words_(std::move(words)),
+      header_names_(std::move(header_names)),
       snapshot_(snapshot),
-      listener_("http://" + http + "/"),
+      listener_("http://" + http_address + "/"),
       dispatcher_(std::move(settings)) {
   listener_.support([this](web::http::http_request request) { handle(std::move(request)); });
 }
@@ -38,33 +38,33 @@
     return failure(std::string("can't listen for HTTP: ") + fault.what());
   }
   is_open_ = is_listening_ = true;
-  traffic_ = std::thread([this] { run_routed_requests(); });
+  dispatch_thread_ = std::thread([this] { run_dispatcher(); });
   return true;
 }
 
-void RoutedRelay::wake() {
-  if (!is_woken_.exchange(true))
-    events_.force(Woken{});
+void RoutedRelay::notify_snapshot_changed() {
+  if (!is_snapshot_changed_.exchange(true))
+    events_.force(SnapshotChanged{});
 }
 
-// The listener stays: where it is gone, the library says 404 on links that are still open, and callers would not try
-// again. Until the relay itself goes, what still comes is refused with 503.
-void RoutedRelay::stop(Duration patience) {
-  begin_stopping();
+// The listener stays: without it the library responds 404 on connections that are still open, and clients would not
+// retry. Until the relay itself is destroyed, what still comes is refused with 503.
+void RoutedRelay::stop(Duration timeout) {
+  begin_draining();
   if (!is_open_.exchange(false))
     return;
-  wait_none_in_hand(patience);
+  wait_until_idle(timeout);
   is_closing_ = true;
-  wake();
-  if (traffic_.joinable())
-    traffic_.join();  // what is left was broken off
-  wait_none_in_hand(last_answers_patience);
+  notify_snapshot_changed();
+  if (dispatch_thread_.joinable())
+    dispatch_thread_.join();  // it has aborted the calls that were left
+  wait_until_idle(last_responses_timeout);
 }
 
-bool RoutedRelay::wait_none_in_hand(Duration patience) {
-  std::unique_lock<std::mutex> guard(in_hand_->mutex);
-  return in_hand_->changed.wait_for(guard, std::chrono::milliseconds(patience.value),
-                                    [&] { return in_hand_->calls == 0; });
+bool RoutedRelay::wait_until_idle(Duration timeout) {
+  std::unique_lock<std::mutex> guard(open_calls_->mutex);
+  return open_calls_->changed.wait_for(guard, std::chrono::milliseconds(timeout.value),
+                                       [&] { return open_calls_->calls == 0; });
 }
 
 void RoutedRelay::close_listener() {
@@ -72,10 +72,11 @@
     return;
   try {
     listener_.close().wait();
-  } catch (const std::exception&) {
+  } catch (const std::exception& fault) {
+    LOG(WARNING) << "listener_close_failed reason=" << fault.what();
   }
-  if (!wait_none_in_hand(closed_connections_timeout))
-    LOG(ERROR) << "calls are still in hand after the end";
+  if (!wait_until_idle(closed_connections_timeout))
+    LOG(ERROR) << "calls_left_open open_calls=" << open_calls();
 }
 
 RouteDispatcher::Counts RoutedRelay::counts() const {
@@ -83,41 +84,52 @@
   return counts_;
 }
 
-std::size_t RoutedRelay::in_hand() const {
-  std::lock_guard<std::mutex> guard(in_hand_->mutex);
-  return in_hand_->calls;
+std::size_t RoutedRelay::open_calls() const {
+  std::lock_guard<std::mutex> guard(open_calls_->mutex);
+  return open_calls_->calls;
 }
 
-void RoutedRelay::run_routed_requests() {
+void RoutedRelay::run_dispatcher() {
   TimePoint now = steady_now();
   TimePoint timer_at = now;
   while (!is_closing_) {
     Duration wait = std::min(Duration{500}, std::max(Duration{0}, timer_at - now));
     auto event = events_.take_within(std::chrono::milliseconds(wait.value));
     now = steady_now();
-    is_woken_ = false;  // before the word is read: a later change wakes again
-    take_snapshot(now);
-    for (int taken = 0; event && taken < max_events_at_once; ++taken) {
-      on_event(*event, now);
-      event = events_.take_within(std::chrono::milliseconds(0));
-    }
-    if (event)
-      on_event(*event, now);
-    if (timer_at <= now) {
-      dispatcher_.on_timer(now);
-      timer_at = std::max(dispatcher_.timer_next(now), now + Duration{1});
-    }
-    act(now);
-    timer_at = std::min(timer_at, std::max(dispatcher_.timer_next(now), now + Duration{1}));
+    is_snapshot_changed_ = false;  // before the snapshot is read: a later change is notified again
+    apply_snapshot(now);
+    timer_at = process_events(std::move(event), now, timer_at);
     std::lock_guard<std::mutex> guard(counts_mutex_);
     counts_ = dispatcher_.counts();
   }
-  events_.close();  // a call that arrives from here on is refused there
-  refuse_arrived();
-  break_off("this daemon stops");
+  events_.close();  // a call that arrives from here on is refused by enqueue_arrival
+  refuse_queued_arrivals();
+  abort_open_calls("this daemon stops");
+}
+
+// Handles this event and those behind it, then what they cause. Gives when the dispatcher's timer is due next.
+TimePoint RoutedRelay::process_events(std::optional<DispatchEvent> event, TimePoint now, TimePoint timer_at) {
+  auto dispatch = [&](const DispatchEvent& received) {
+    std::visit([&](const auto& typed) { on_event(typed, now); }, received);
+  };
+  for (int taken = 0; event && taken < max_events_per_round; ++taken) {
+    dispatch(*event);
+    event = events_.take_within(std::chrono::milliseconds(0));
+  }
+  if (event)
+    dispatch(*event);
+  auto next_timer = [&] {
+    return std::max(dispatcher_.next_timer(now), now + Duration{1});
+  };
+  if (timer_at <= now) {
+    dispatcher_.on_timer(now);
+    timer_at = next_timer();
+  }
+  execute_actions(now);
+  return std::min(timer_at, next_timer());
 }
 
-void RoutedRelay::take_snapshot(TimePoint now) {
+void RoutedRelay::apply_snapshot(TimePoint now) {
   auto [view, grant] = snapshot_.get();
   dispatcher_.set_warming_up_until(grant.warming_up_until);
   if (view == view_)
@@ -126,108 +138,112 @@
   max_header_bytes_ = view->limits.max_header_bytes;
   max_body_bytes_ = view->limits.max_body_bytes;
   drop_connections(*view);
-  dispatcher_.see(view, now);
+  dispatcher_.update_view(view, now);
 }
 
-// Those that no one takes up any more.
-void RoutedRelay::refuse_arrived() {
+// The calls that the dispatch thread does not admit any more.
+void RoutedRelay::refuse_queued_arrivals() {
   while (auto event = events_.take_within(std::chrono::milliseconds(0)))
-    if (auto* arrived = std::get_if<Arrived>(&*event))
+    if (auto* arrived = std::get_if<CallArrived>(&*event))
       refuse(arrived->handle->request, arrived->handle->id, {503, "this daemon stops", stopped_retry_after},
              arrived->handle);
 }
 
-void RoutedRelay::on_event(RoutedEvent& event, TimePoint now) {
-  if (auto* arrived = std::get_if<Arrived>(&event))
-    on_arrived(*arrived, now);
-  else if (auto* ended = std::get_if<RoutedEnd>(&event))
-    on_end(*ended, now);
-  else if (auto* begun = std::get_if<Begun>(&event))
-    dispatcher_.answer_begun(begun->index, begun->turn, now);
-  else if (auto* piece = std::get_if<Piece>(&event))
-    dispatcher_.first_piece(piece->index, piece->turn, now);
-  else if (auto* gone = std::get_if<Gone>(&event))
-    on_gone(*gone, now);
-}
-
-void RoutedRelay::on_arrived(Arrived& arrived, TimePoint now) {
+void RoutedRelay::on_event(const CallArrived& arrived, TimePoint now) {
   CallIndex index = arrived.handle->index;
   calls_[index].handle = arrived.handle;
   if (auto refusal = dispatcher_.admit(arrived.call, now, index)) {
-    answer_final(*refusal, arrived.handle);
+    send_final_response(*refusal, arrived.handle);
     calls_.erase(index);
   }
 }
 
-void RoutedRelay::on_end(const RoutedEnd& ended, TimePoint now) {
-  auto entry = calls_.find(ended.call);
-  if (entry == calls_.end() || !entry->second.send || entry->second.send->act.turn != ended.turn)
-    return;  // of a send given up
-  entry->second.send.reset();
-  entry->second.may_have_run |=
-      ended.may_have_run || ended.kind == RoutedEndKind::lost || ended.kind == RoutedEndKind::broken;
-  bool is_over = ended.kind == RoutedEndKind::answered || ended.kind == RoutedEndKind::caller_gone;
-  if (is_over)
-    calls_.erase(entry);
-  dispatcher_.on_attempt_finished(ended, now);
+// The call whose current attempt this is; null if that attempt was cancelled.
+RoutedRelay::OpenCall* RoutedRelay::find_attempt(CallIndex index, int attempt_number) {
+  auto entry = calls_.find(index);
+  if (entry == calls_.end() || !entry->second.active)
+    return nullptr;
+  return entry->second.active->attempt.attempt_number == attempt_number ? &entry->second : nullptr;
 }
 
-void RoutedRelay::on_gone(const Gone& gone, TimePoint now) {
-  auto entry = calls_.find(gone.index);
+void RoutedRelay::on_event(const RoutedAttemptResult& result, TimePoint now) {
+  OpenCall* call = find_attempt(result.call, result.attempt_number);
+  if (call == nullptr)
+    return;
+  call->active.reset();
+  call->may_have_run |= result.may_have_run || result.outcome == RoutedAttemptOutcome::lost ||
+                        result.outcome == RoutedAttemptOutcome::broken;
+  bool is_call_over =
+      result.outcome == RoutedAttemptOutcome::completed || result.outcome == RoutedAttemptOutcome::caller_disconnected;
+  if (is_call_over)
+    calls_.erase(result.call);
+  dispatcher_.on_attempt_finished(result, now);
+}
+
+void RoutedRelay::on_event(const ResponseStarted& started, TimePoint now) {
+  dispatcher_.on_response_started(started.index, started.attempt_number, now);
+}
+
+void RoutedRelay::on_event(const StreamProgress& progress, TimePoint now) {
+  dispatcher_.on_stream_event(progress.index, progress.attempt_number, now);
+}
+
+void RoutedRelay::on_event(const CallerDisconnected& disconnected, TimePoint now) {
+  auto entry = calls_.find(disconnected.index);
   if (entry == calls_.end())
     return;
   ++relay_counts_.callers_gone;
-  give_up(entry->second);
+  cancel_attempt(entry->second);
   calls_.erase(entry);
-  dispatcher_.caller_gone(gone.index, now);
+  dispatcher_.on_caller_disconnected(disconnected.index, now);
 }
 
-// Closes the link of the current send. Nothing of it is handed on from here.
-void RoutedRelay::give_up(Entry& entry) {
-  if (!entry.send)
+// Closes the connection of the current attempt. Nothing more of it is forwarded.
+void RoutedRelay::cancel_attempt(OpenCall& call) {
+  if (!call.active)
     return;
   {
-    std::lock_guard<std::mutex> guard(entry.handle->mutex);
-    entry.handle->turn = 0;
+    std::lock_guard<std::mutex> guard(call.handle->mutex);
+    call.handle->attempt_number = 0;
   }
-  entry.send->stop.cancel();
-  entry.send.reset();
+  call.active->stop.cancel();
+  call.active.reset();
 }
 
-void RoutedRelay::act(TimePoint now) {
-  for (const auto& stopped : dispatcher_.take_stops()) {
-    auto entry = calls_.find(stopped.call);
-    if (entry == calls_.end() || !entry->second.send || entry->second.send->act.turn != stopped.turn)
+void RoutedRelay::execute_actions(TimePoint now) {
+  for (const auto& cancelled : dispatcher_.drain_cancellations()) {
+    OpenCall* call = find_attempt(cancelled.call, cancelled.attempt_number);
+    if (call == nullptr)
       continue;
     ++relay_counts_.stops;
-    entry->second.may_have_run = true;
-    give_up(entry->second);
+    call->may_have_run = true;
+    cancel_attempt(*call);
   }
-  for (const auto& wish : dispatcher_.take_sends())
-    send(wish, now);
-  for (const auto& final_act : dispatcher_.take_finals()) {
-    auto found = calls_.find(final_act.call);
-    if (found == calls_.end())
+  for (const auto& attempt : dispatcher_.drain_attempts())
+    start_attempt(attempt, now);
+  for (const auto& final_response : dispatcher_.drain_final_responses()) {
+    auto entry = calls_.find(final_response.call);
+    if (entry == calls_.end())
       continue;
-    Entry entry = found->second;
-    calls_.erase(found);
-    give_up(entry);
-    answer_final(final_act, entry.handle);
+    OpenCall call = entry->second;
+    calls_.erase(entry);
+    cancel_attempt(call);
+    send_final_response(final_response, call.handle);
   }
 }
 
-void RoutedRelay::break_off(const std::string& reason) {
+void RoutedRelay::abort_open_calls(const std::string& reason) {
   while (!calls_.empty()) {
-    Entry entry = calls_.begin()->second;
+    OpenCall call = calls_.begin()->second;
     calls_.erase(calls_.begin());
-    bool may_have_run = entry.may_have_run || entry.send != nullptr;
-    give_up(entry);
-    FinalAct act{entry.handle->index, 503, reason, may_have_run, stopped_retry_after, {}};
-    if (may_have_run) {  // 503 would be a promise
-      act.code = 502;
-      act.retry_after = Duration{0};
+    bool may_have_run = call.may_have_run || call.active != nullptr;
+    cancel_attempt(call);
+    FinalResponse final_response{call.handle->index, 503, reason, may_have_run, stopped_retry_after, {}};
+    if (may_have_run) {  // 503 would promise that it did not run
+      final_response.code = 502;
+      final_response.retry_after = Duration{0};
     }
-    answer_final(act, entry.handle);
+    send_final_response(final_response, call.handle);
   }
   connections_.clear();
 }
--- a/packages/data-plane/src/routed_relay.hpp
+++ b/packages/data-plane/src/routed_relay.hpp
@@ -1,5 +1,6 @@
-// The I/O of routed calls: taking them in, sending them to runners, relaying what comes back.
+// The I/O of routed calls: accepting them, sending them to runners, relaying what comes back.
 #pragma once
+#include <absl/base/thread_annotations.h>
 #include <cpprest/http_client.h>
 #include <cpprest/http_listener.h>
 #include <cpprest/producerconsumerstream.h>
@@ -25,167 +26,180 @@
 
 namespace emberdale {
 
-// The names of headers; a layer that translates fills them in. An empty name: that header is not used.
-// Example: words.call_id = "X-Call"; words.seal = "X-Seal";
+// The names of headers, as the deployment's protocol has them. A header with an empty name is not used.
 struct RelayHeaderNames {
-  std::string call_id;                       // of a call and of its answer
+  std::string call_id;                       // of a call and of its response
   std::string deadline;                      // ms left, to this daemon and from it to a runner
   std::string prompt;                        // HEXID:TOKENS,HEXID:TOKENS,..
   std::string tokens;                        // IN,OUT
-  std::string expected_incarnation;          // to a runner: only this one runs the call, every other answers 421
+  std::string expected_incarnation;          // to a runner: only this one runs the call, every other responds 421
   std::string rank;                          // to a runner
-  std::string incarnation;                   // of an answer: who ran it
-  std::string seal;                          // of an answer: without it none counts as given
-  std::string load;                          // of an answer: running,waiting,slots
-  std::string not_run, not_run_value = "1";  // of an answer: it surely did not run
+  std::string incarnation;                   // of a response: who ran it
+  std::string seal;                          // of a response: without it none is accepted
+  std::string load;                          // of a response: running,waiting,slots
+  std::string not_run, not_run_value = "1";  // of a response: the call surely did not run
   std::string resume = "Last-Event-Id";
 };
 
-// Lives as long as something is in hand that uses the relay.
-struct InHand {
+// The open calls of a relay together; every open call shares it, also beyond the relay's end.
+struct OpenCallTotals {
   std::mutex mutex;
   std::condition_variable changed;
-  std::size_t calls = 0, bytes = 0;
+  std::size_t calls ABSL_GUARDED_BY(mutex) = 0;
+  std::size_t bytes ABSL_GUARDED_BY(mutex) = 0;  // of their bodies
 };
 
-// The stages accept -> gate -> match -> send -> relay of routed calls, joined by bounded queues.
-// Example: RoutedRelay relay(dispatcher_settings, words, word, "127.0.0.1:80"); relay.open(); ...
-// relay.stop(Duration{5000});
+// The stages accept -> admission -> endpoint selection -> attempt -> relay of routed calls, joined by bounded queues.
+// The dispatcher runs on one thread of the relay's own; the library's threads read and write.
+//
+// Use: RoutedRelay relay(dispatcher_settings, header_names, snapshot, "127.0.0.1:80"); relay.open(); ...
+//      relay.stop(Duration{5000});
 class RoutedRelay {
  public:
-  RoutedRelay(RouteDispatcherSettings settings, RelayHeaderNames words, const ControlSnapshot& snapshot,
-              const std::string& http);
+  RoutedRelay(RouteDispatcherSettings settings, RelayHeaderNames header_names, const ControlSnapshot& snapshot,
+              const std::string& http_address);
   ~RoutedRelay();
+  // Listens for clients; a failure says why the address can't be used.
   Outcome<bool> open();
-  // The control word has changed. Example: word.put(view, grant); relay.wake();
-  void wake();
-  // From here on answers ask callers to leave this link; calls are still taken. Example: relay.begin_stopping();
-  void begin_stopping() { is_stopping_ = true; }
+  // The snapshot has a new value: the dispatch thread takes it at once.
+  void notify_snapshot_changed();
+  // From here on responses ask clients to leave this connection; calls are still admitted.
+  void begin_draining() { is_stopping_ = true; }
   bool ready() const { return is_open_ && !is_stopping_; }
-  // Finishes what is in hand, or breaks it off when patience is over; what comes later is refused.
-  // Example: relay.stop(Duration{5000})
-  void stop(Duration patience);
+  // Finishes the open calls, or aborts them at the timeout; what comes later is refused.
+  void stop(Duration timeout);
   RouteDispatcher::Counts counts() const;
   struct RelayCounts {
-    std::atomic<std::int64_t> unsealed{0}, foreign_answers{0}, streams_broken{0}, connections_broken{0},
-        callers_gone{0}, pieces{0}, pieces_dropped{0}, stops{0}, accept_refused{0}, own_answers_kept{0};
+    std::atomic<std::int64_t> unsealed{0}, foreign_responses{0}, streams_broken{0}, connections_broken{0},
+        callers_gone{0}, pieces{0}, pieces_dropped{0}, stops{0}, accept_refused{0}, own_responses_kept{0};
   };
   const RelayCounts& relay_counts() const { return relay_counts_; }
-  std::size_t in_hand() const;
+  std::size_t open_calls() const;
 
  private:
-  // What the daemon itself answers to a call that surely did not run.
+  // The daemon's own response to a call that surely did not run.
   struct Refusal {
     int code = 503;
     std::string reason;
     Duration retry_after{0};
     bool is_connection_closed = false;
   };
-  struct Handle;            // one call in hand
-  struct Send;              // one send of it
+  struct Handle;            // one open call
+  struct ActiveAttempt;     // one attempt of it
   struct RunnerConnection;  // a client of one runner
-  struct Entry {
+  struct OpenCall {
     std::shared_ptr<Handle> handle;
-    std::shared_ptr<Send> send;  // the current one
-    bool may_have_run = false;   // by a send before it
+    std::shared_ptr<ActiveAttempt> active;  // the current one
+    bool may_have_run = false;              // by an earlier attempt
   };
-  struct Arrived {
+  // Events for the dispatch thread.
+  struct CallArrived {
     std::shared_ptr<Handle> handle;
     RoutedCall call;
   };
-  struct Begun {
+  struct ResponseStarted {
     CallIndex index;
-    int turn;
+    int attempt_number;
   };
-  struct Piece {
+  struct StreamProgress {
     CallIndex index;
-    int turn;
+    int attempt_number;
   };
-  struct Gone {
+  struct CallerDisconnected {
     CallIndex index;
   };
-  struct Woken {};
-  using RoutedEvent = std::variant<Arrived, RoutedEnd, Begun, Piece, Gone, Woken>;
+  struct SnapshotChanged {};
+  using DispatchEvent = std::variant<CallArrived, RoutedAttemptResult, ResponseStarted, StreamProgress,
+                                     CallerDisconnected, SnapshotChanged>;
   using Bytes = std::shared_ptr<std::vector<std::uint8_t>>;
 
   // Admission: routed_relay_admission.cpp
   void handle(web::http::http_request request);
   std::optional<Refusal> refusal_of(const web::http::http_request& request) const;
-  bool reserve(std::size_t body_size);
-  std::shared_ptr<Handle> take_up(const web::http::http_request& request, std::size_t body_size);
-  RoutedCall call_of(const web::http::http_request& request) const;
+  bool reserve_capacity(std::size_t body_size);
+  std::shared_ptr<Handle> register_call(const web::http::http_request& request, std::size_t body_size);
+  RoutedCall routed_call_of(const web::http::http_request& request) const;
   void read_body(std::shared_ptr<Handle> handle, RoutedCall call);
   void read_chunked(std::shared_ptr<Handle> handle, RoutedCall call);
-  void take_in(std::shared_ptr<Handle> handle, RoutedCall call);
-  bool grow(const std::shared_ptr<Handle>& handle, const std::string& bytes);
+  void enqueue_arrival(std::shared_ptr<Handle> handle, RoutedCall call);
+  bool append_body(const std::shared_ptr<Handle>& handle, const std::string& bytes);
 
-  // The traffic thread: routed_relay.cpp
-  void run_routed_requests();
-  bool wait_none_in_hand(Duration patience);
+  // The dispatch thread: routed_relay.cpp
+  void run_dispatcher();
+  bool wait_until_idle(Duration timeout);
   void close_listener();
-  void take_snapshot(TimePoint now);
-  void on_event(RoutedEvent& event, TimePoint now);
-  void act(TimePoint now);
-  void on_arrived(Arrived& arrived, TimePoint now);
-  void on_end(const RoutedEnd& ended, TimePoint now);
-  void on_gone(const Gone& gone, TimePoint now);
-  void give_up(Entry& entry);
-  void refuse_arrived();
-  void break_off(const std::string& reason);
+  void apply_snapshot(TimePoint now);
+  TimePoint process_events(std::optional<DispatchEvent> event, TimePoint now, TimePoint timer_at);
+  void execute_actions(TimePoint now);
+  void on_event(const CallArrived& arrived, TimePoint now);
+  void on_event(const RoutedAttemptResult& result, TimePoint now);
+  void on_event(const ResponseStarted& started, TimePoint now);
+  void on_event(const StreamProgress& progress, TimePoint now);
+  void on_event(const CallerDisconnected& disconnected, TimePoint now);
+  void on_event(const SnapshotChanged&, TimePoint) {}
+  OpenCall* find_attempt(CallIndex index, int attempt_number);
+  void cancel_attempt(OpenCall& call);
+  void refuse_queued_arrivals();
+  void abort_open_calls(const std::string& reason);
 
-  // Sending: routed_relay_sending.cpp
-  void send(const RoutedSend& act, TimePoint now);
-  web::http::http_request request_to_runner(const Send& send, const std::string& resume_after, TimePoint now) const;
-  void begin(const std::shared_ptr<Send>& send, const web::http::http_request& request);
-  std::shared_ptr<RunnerConnection> connection_to(const RoutedSend& act);
+  // Attempts: routed_relay_attempts.cpp
+  void start_attempt(const RoutedAttempt& attempt, TimePoint now);
+  web::http::http_request request_to_runner(const ActiveAttempt& active, const std::string& resume_after,
+                                            TimePoint now) const;
+  void send_request(const std::shared_ptr<ActiveAttempt>& active, const web::http::http_request& request);
+  std::shared_ptr<RunnerConnection> connection_to(const RoutedAttempt& attempt);
   void drop_connections(const RoutingView& view);
-  RoutedEnd end_of(const Send& send, RoutedEndKind kind, const std::string& reason) const;
-  void end(const std::shared_ptr<Send>& send, RoutedEndKind kind, const std::string& reason);
-  void take_fault(const std::shared_ptr<Send>& send, const std::exception& fault);
+  RoutedAttemptResult result_of(const ActiveAttempt& active, RoutedAttemptOutcome outcome,
+                                const std::string& reason) const;
+  void finish_attempt(const std::shared_ptr<ActiveAttempt>& active, RoutedAttemptOutcome outcome,
+                      const std::string& reason);
+  void on_attempt_failed(const std::shared_ptr<ActiveAttempt>& active, const std::exception& fault);
 
-  // Answers of runners: routed_relay_answers.cpp
-  void take_head(const std::shared_ptr<Send>& send);
-  std::optional<std::string> fault_of(const std::shared_ptr<Send>& send);
-  void take_refusal(const std::shared_ptr<Send>& send);
-  void discard(const std::shared_ptr<Send>& send, RoutedEndKind kind, const std::string& reason);
-  void accept_response(const std::shared_ptr<Send>& send);
-  void hand_on(const std::shared_ptr<Send>& send, const Bytes& body);
+  // Responses of runners: routed_relay_responses.cpp
+  void on_response_headers(const std::shared_ptr<ActiveAttempt>& active);
+  std::optional<std::string> rejection_reason(const std::shared_ptr<ActiveAttempt>& active);
+  void on_refused(const std::shared_ptr<ActiveAttempt>& active);
+  void discard(const std::shared_ptr<ActiveAttempt>& active, RoutedAttemptOutcome outcome, const std::string& reason);
+  void accept_response(const std::shared_ptr<ActiveAttempt>& active);
+  void forward_response(const std::shared_ptr<ActiveAttempt>& active, const Bytes& body);
 
   // Streams: routed_relay_streams.cpp
-  void take_stream(const std::shared_ptr<Send>& send);
-  bool pass_events(const std::shared_ptr<Send>& send, const std::string& bytes);
-  void end_stream(const std::shared_ptr<Send>& send, bool is_broken);
-  void open_stream(const std::shared_ptr<Send>& send);
+  void relay_stream(const std::shared_ptr<ActiveAttempt>& active);
+  bool forward_events(const std::shared_ptr<ActiveAttempt>& active, const std::string& bytes);
+  void end_stream(const std::shared_ptr<ActiveAttempt>& active, bool is_broken);
+  void open_stream(const std::shared_ptr<ActiveAttempt>& active);
 
-  // Answers to callers: routed_relay_replies.cpp
+  // The daemon's own responses: routed_relay_final_responses.cpp
   void refuse(const web::http::http_request& request, const std::string& call_id, const Refusal& refusal,
-              std::shared_ptr<Handle> held = nullptr);  // in hand until the answer is written
-  void refuse_unread(const web::http::http_request& request, Refusal refusal);
-  void answer_final(const FinalAct& act, const std::shared_ptr<Handle>& handle);
-  web::http::http_response response_of(const FinalAct& act, const std::string& call_id) const;
+              std::shared_ptr<Handle> held = nullptr);  // open until the response is written
+  void refuse_without_reading(const web::http::http_request& request, Refusal refusal);
+  void send_final_response(const FinalResponse& final_response, const std::shared_ptr<Handle>& handle);
+  web::http::http_response response_of(const FinalResponse& final_response, const std::string& call_id) const;
   void promise_not_run(web::http::http_response& response) const;
   void reply(const web::http::http_request& request, web::http::http_response response,
              std::function<void(bool)> on_end);
-  void copy_answer_headers(const web::http::http_headers& from, web::http::http_headers& to) const;
+  void copy_response_headers(const web::http::http_headers& from, web::http::http_headers& to) const;
 
   RouteDispatcherSettings settings_;
-  RelayHeaderNames words_;
+  RelayHeaderNames header_names_;
   const ControlSnapshot& snapshot_;
   web::http::experimental::listener::http_listener listener_;
-  RouteDispatcher dispatcher_;  // of the traffic thread, with the next three
-  std::map<CallIndex, Entry> calls_;
+  // Of the dispatch thread alone, up to view_.
+  RouteDispatcher dispatcher_;
+  std::map<CallIndex, OpenCall> calls_;
   std::map<std::pair<std::string, RunnerName>, std::shared_ptr<RunnerConnection>> connections_;
   std::shared_ptr<const RoutingView> view_;
-  BoundedQueue<RoutedEvent> events_{4096};
-  std::thread traffic_;
-  std::shared_ptr<InHand> in_hand_ = std::make_shared<InHand>();
+  BoundedQueue<DispatchEvent> events_{4096};
+  std::thread dispatch_thread_;
+  std::shared_ptr<OpenCallTotals> open_calls_ = std::make_shared<OpenCallTotals>();
   std::atomic<CallIndex> last_index_{0};
-  std::atomic<bool> is_open_{false}, is_listening_{false}, is_stopping_{false}, is_closing_{false}, is_woken_{false};
+  std::atomic<bool> is_open_{false}, is_listening_{false}, is_stopping_{false}, is_closing_{false},
+      is_snapshot_changed_{false};
   std::atomic<std::int64_t> max_header_bytes_{RequestLimits{}.max_header_bytes},
       max_body_bytes_{RequestLimits{}.max_body_bytes};
   RelayCounts relay_counts_;
   mutable std::mutex counts_mutex_;
-  RouteDispatcher::Counts counts_;
+  RouteDispatcher::Counts counts_ ABSL_GUARDED_BY(counts_mutex_);
 };
 
 }  // namespace emberdale
--- a/packages/data-plane/src/routed_relay_replies.cpp
+++ b/packages/data-plane/src/routed_relay_final_responses.cpp
@@ -1,4 +1,4 @@
-// What the routed relay answers to callers on its own behalf: refusals and final answers.
+// The relay's own responses to clients: refusals and final responses.
 #include <nlohmann/json.hpp>
 
 #include "emberdale/json_text.hpp"
@@ -13,9 +13,9 @@
 
 namespace {
 
-// The library takes a body in whole, without bound, and sends no answer before: both end here. Closing alone is
+// The library reads a body whole, without bound, and sends no response before: both end here. Closing alone is
 // not enough: without a fault it goes on writing nothing to the closed buffer, for ever.
-void read_no_further(const http_request& request) {
+void abandon_body(const http_request& request) {
   auto fault = std::make_exception_ptr(std::runtime_error("the body is not wanted"));
   request.body().streambuf().close(std::ios_base::in | std::ios_base::out, fault);
   request._get_impl()->_complete(0);
@@ -30,8 +30,8 @@
 }
 
 void RoutedRelay::promise_not_run(http_response& response) const {
-  if (!words_.not_run.empty())
-    response.headers().add(words_.not_run, words_.not_run_value);
+  if (!header_names_.not_run.empty())
+    response.headers().add(header_names_.not_run, header_names_.not_run_value);
 }
 
 void RoutedRelay::refuse(const http_request& request, const std::string& call_id, const Refusal& refusal,
@@ -39,7 +39,7 @@
   http_response response(static_cast<web::http::status_code>(refusal.code));
   promise_not_run(response);
   if (!call_id.empty())
-    response.headers().add(words_.call_id, call_id);
+    response.headers().add(header_names_.call_id, call_id);
   if (refusal.retry_after.value > 0)
     response.headers().add("Retry-After", retry_after_text(refusal.retry_after));
   if (refusal.is_connection_closed)
@@ -48,51 +48,51 @@
   reply(request, response, [held = std::move(held)](bool) {});
 }
 
-// Whatever is still coming of the body is not read: its link has no use afterwards.
-void RoutedRelay::refuse_unread(const http_request& request, Refusal refusal) {
+// Whatever is still coming of the body is not read: its connection has no use afterwards.
+void RoutedRelay::refuse_without_reading(const http_request& request, Refusal refusal) {
   const auto& headers = request.headers();
-  bool has_body = headers.has("Transfer-Encoding") || !has_clear_length(headers) || headers.content_length() > 0;
+  bool has_body = headers.has("Transfer-Encoding") || !has_unambiguous_length(headers) || headers.content_length() > 0;
   refusal.is_connection_closed = has_body;
-  refuse(request, header_of(headers, words_.call_id), refusal);
+  refuse(request, header_value(headers, header_names_.call_id), refusal);
   if (has_body)
-    read_no_further(request);
+    abandon_body(request);
 }
 
-void RoutedRelay::answer_final(const FinalAct& act, const std::shared_ptr<Handle>& handle) {
+void RoutedRelay::send_final_response(const FinalResponse& final_response, const std::shared_ptr<Handle>& handle) {
   std::unique_lock<std::mutex> guard(handle->mutex);
-  handle->turn = 0;
-  if (std::exchange(handle->is_over, true))
+  handle->attempt_number = 0;
+  if (std::exchange(handle->is_finished, true))
     return;
-  if (handle->is_stream_open) {  // its end must not look like one
+  if (handle->is_stream_open) {  // its end must not look like a regular one
     ++relay_counts_.streams_broken;
-    handle->pieces->close(std::ios_base::out, std::make_exception_ptr(std::runtime_error(act.reason)));
+    handle->pieces->close(std::ios_base::out, std::make_exception_ptr(std::runtime_error(final_response.reason)));
     return;
   }
-  http_response response = handle->kept ? *handle->kept : response_of(act, handle->id);
-  handle->kept.reset();
+  http_response response = handle->own_response ? *handle->own_response : response_of(final_response, handle->id);
+  handle->own_response.reset();
   guard.unlock();
   reply(handle->request, response, [handle](bool) {});
 }
 
-http_response RoutedRelay::response_of(const FinalAct& act, const std::string& call_id) const {
-  http_response response(static_cast<web::http::status_code>(act.code));
-  if (!act.may_have_run)
+http_response RoutedRelay::response_of(const FinalResponse& final_response, const std::string& call_id) const {
+  http_response response(static_cast<web::http::status_code>(final_response.code));
+  if (!final_response.may_have_run)
     promise_not_run(response);
   if (!call_id.empty())
-    response.headers().add(words_.call_id, call_id);
-  if (act.retry_after.value > 0)
-    response.headers().add("Retry-After", retry_after_text(act.retry_after));
-  Json body{{"reason", act.reason}};
-  if (!act.homes.empty())
-    body["homes"] = act.homes;
+    response.headers().add(header_names_.call_id, call_id);
+  if (final_response.retry_after.value > 0)
+    response.headers().add("Retry-After", retry_after_text(final_response.retry_after));
+  Json body{{"reason", final_response.reason}};
+  if (!final_response.homes.empty())
+    body["homes"] = final_response.homes;
   response.set_body(json_text(body), "application/json");
   return response;
 }
 
-void RoutedRelay::copy_answer_headers(const http_headers& from, http_headers& to) const {
-  std::string named = header_of(from, "Connection");
+void RoutedRelay::copy_response_headers(const http_headers& from, http_headers& to) const {
+  std::string connection_header = header_value(from, "Connection");
   for (const auto& [name, value] : from)
-    if (!is_of_connection(name, named))
+    if (!is_hop_by_hop(name, connection_header))
       to.add(name, value);
 }
 
--- a/packages/data-plane/tests/call_relay_test.cpp
+++ b/packages/data-plane/tests/call_relay_test.cpp
@@ -71,10 +71,13 @@
   ~Bench() { relay_->stop(Duration{3000}); }
 
   pplx::task<Told> ask_later(const std::string& path, const std::string& body = "{}",
-                             const std::string& method = "POST", const std::string& type = "application/json") {
+                             const std::string& method = "POST", const std::string& type = "application/json",
+                             const std::map<std::string, std::string>& headers = {}) {
     auto client = std::make_shared<web::http::client::http_client>("http://" + place_);
     web::http::http_request request(method);
     request.set_request_uri(path);
+    for (const auto& [name, value] : headers)
+      request.headers().add(name, value);
     if (method != "GET")
       request.set_body(body, type);
     return client->request(request).then([client](web::http::http_response response) {
@@ -87,7 +90,10 @@
            const std::string& type = "application/json") {
     return ask_later(path, body, method, type).get();
   }
-  void take_grant() { snapshot_.put(snapshot_.get().first, Grant{TimePoint{0}, {1, 1}}); }
+  Told ask_with_headers(const std::string& path, const std::map<std::string, std::string>& headers) {
+    return ask_later(path, "{}", "POST", "application/json", headers).get();
+  }
+  void take_grant() { snapshot_.put(snapshot_.get().view, Grant{TimePoint{0}, {1, 1}}); }
   CallRelay& relay() { return *relay_; }
 
  private:
@@ -96,11 +102,11 @@
   std::unique_ptr<CallRelay> relay_;
 };
 
-std::string response_bytes(const Asked& asked, const std::string& runner, const std::string& body,
+std::string response_bytes(const ReceivedRequest& received, const std::string& runner, const std::string& body,
                            const std::string& seal_body, const std::string& key = "key") {
   return "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nX-Runner: " + runner +
          "\r\nX-Runner-Incarnation: 7\r\nX-Runner-Seal: " +
-         seal_of(key, asked.header("X-Emberdale-Call"), runner, 7, "200\n" + seal_body) +
+         seal_of(key, received.header("X-Emberdale-Call"), runner, 7, "200\n" + seal_body) +
          "\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
@@ -108,8 +114,8 @@
   return "HTTP/1.1 503 Full\r\nX-Runner: " + runner + "\r\nX-Runner-Refused: " + why + "\r\nContent-Length: 0\r\n\r\n";
 }
 
-std::string stream_bytes(const Asked& asked, const std::string& runner) {
-  std::string call = asked.header("X-Emberdale-Call"), body;
+std::string stream_bytes(const ReceivedRequest& received, const std::string& runner) {
+  std::string call = received.header("X-Emberdale-Call"), body;
   body += event_text({"", "1", "one"}) + event_text({"", "2", "two"});
   body += event_text({"sealed", "3", seal_of("key", call, runner, 7, "one\ntwo\n")});
   char size[16];
@@ -130,8 +136,8 @@
 TEST(CallRelay, AnAnswerCutAtAnyPointIsWholeOrUnknownAndNeverRunAgain) {
   std::size_t length = 0;
   std::atomic<std::size_t> cut{0};
-  CountingServer runner([&](const Asked& asked) {
-    std::string bytes = response_bytes(asked, "r1", R"({"v":"accept"})", R"({"v":"accept"})");
+  CountingServer runner([&](const ReceivedRequest& received) {
+    std::string bytes = response_bytes(received, "r1", R"({"v":"accept"})", R"({"v":"accept"})");
     length = bytes.size();
     return std::make_pair(bytes.substr(0, cut), true);
   });
@@ -160,8 +166,8 @@
 TEST(CallRelay, AStreamCutAtAnyPointEndsWithAnErrorAndNeverWithASeal) {
   std::size_t length = 0;
   std::atomic<std::size_t> cut{0};
-  CountingServer runner([&](const Asked& asked) {
-    std::string bytes = stream_bytes(asked, "r1");
+  CountingServer runner([&](const ReceivedRequest& received) {
+    std::string bytes = stream_bytes(received, "r1");
     length = bytes.size();
     return std::make_pair(bytes.substr(0, cut), true);
   });
@@ -205,15 +211,15 @@
 
 TEST(CallRelay, NoForeignOrUnsealedAnswerReachesTheCaller) {
   std::atomic<int> kind{0};
-  CountingServer runner([&](const Asked& asked) {
+  CountingServer runner([&](const ReceivedRequest& received) {
     std::string body = R"({"v":1})";
     if (kind == 0)
-      return std::make_pair(response_bytes(asked, "r1", body, R"({"v":2})"), true);  // seal of another body
+      return std::make_pair(response_bytes(received, "r1", body, R"({"v":2})"), true);  // seal of another body
     if (kind == 1)
-      return std::make_pair(response_bytes(asked, "r1", body, body, "other key"), true);  // not the runner's
+      return std::make_pair(response_bytes(received, "r1", body, body, "other key"), true);  // not the runner's
     if (kind == 2)
-      return std::make_pair(response_bytes(asked, "r9", body, body), true);  // another runner
-    Asked other = asked;
+      return std::make_pair(response_bytes(received, "r9", body, body), true);  // another runner
+    ReceivedRequest other = received;
     other.head = "\r\nX-Emberdale-Call: some-other-call\r\n";
     if (kind == 3)
       return std::make_pair(response_bytes(other, "r1", body, body), true);  // another call's answer
@@ -230,11 +236,11 @@
 }
 
 TEST(CallRelay, OnlyWhatSurelyDidNotRunOrMayRunAgainIsSentAgain) {
-  CountingServer broken([](const Asked&) { return std::make_pair(std::string(), true); });
-  CountingServer full([](const Asked&) { return std::make_pair(refusal_bytes("r1", "full"), false); });
+  CountingServer broken([](const ReceivedRequest&) { return std::make_pair(std::string(), true); });
+  CountingServer full([](const ReceivedRequest&) { return std::make_pair(refusal_bytes("r1", "full"), false); });
   std::string nobody = free_place();
-  auto good_script = [](const Asked& asked) {
-    return std::make_pair(response_bytes(asked, "r2", "{}", "{}"), true);
+  auto good_script = [](const ReceivedRequest& received) {
+    return std::make_pair(response_bytes(received, "r2", "{}", "{}"), true);
   };
   for (int i = 0; i < 6; ++i) {  // which runner comes first is the ranking's to say: try several calls
     CountingServer good(good_script);
@@ -252,7 +258,7 @@
 }
 
 TEST(CallRelay, AHungRunnerEndsAtTheDeadlineAndAFullOneAtOnceWithRetryAfter) {
-  CountingServer hung([](const Asked&) { return std::make_pair(std::string(), false); });
+  CountingServer hung([](const ReceivedRequest&) { return std::make_pair(std::string(), false); });
   {
     Bench bench({hung.place()});
     Told told = bench.ask("/once");
@@ -281,7 +287,8 @@
 }
 
 TEST(CallRelay, RefusesWhatIsNotACallWithAReason) {
-  CountingServer good([](const Asked& asked) { return std::make_pair(response_bytes(asked, "r1", "{}", "{}"), true); });
+  CountingServer good(
+      [](const ReceivedRequest& received) { return std::make_pair(response_bytes(received, "r1", "{}", "{}"), true); });
   Bench bench({good.place()});
   EXPECT_EQ(bench.ask("/nowhere").code, 404);
   EXPECT_EQ(bench.ask("/once", "", "GET").code, 405);
@@ -298,12 +305,36 @@
   EXPECT_EQ(good.executions("/once"), 0);
 }
 
+// The header was called X-Horizon-Ms before; clients that still send it are served as they were.
+TEST(CallRelay, TheDeadlineIsReadFromItsHeaderUnderThePresentAndTheFormerName) {
+  std::atomic<int> deadline_ms{0};
+  CountingServer runner([&](const ReceivedRequest& received) {
+    deadline_ms = std::stoi(received.header("X-Emberdale-Horizon-Ms"));
+    return std::make_pair(response_bytes(received, "r1", "{}", "{}"), false);
+  });
+  Bench bench({runner.place()});
+  EXPECT_EQ(bench.ask("/again").code, 200);
+  EXPECT_GT(deadline_ms, 400);  // the plan's own: 700 ms
+  for (const char* name : {"X-Deadline-Ms", "X-Horizon-Ms"}) {
+    EXPECT_EQ(bench.ask_with_headers("/again", {{name, "400"}}).code, 200) << name;
+    EXPECT_GT(deadline_ms, 0) << name;
+    EXPECT_LE(deadline_ms, 400) << name;
+    for (const char* value : {"0", "-5", "soon"}) {
+      Told refused = bench.ask_with_headers("/again", {{name, value}});
+      EXPECT_EQ(refused.code, 400) << name << " " << value;
+      EXPECT_EQ(Json::parse(refused.body).value("reason", ""), std::string(name) + " must be a number of milliseconds");
+    }
+  }
+  EXPECT_EQ(bench.ask_with_headers("/again", {{"X-Deadline-Ms", "300"}, {"X-Horizon-Ms", "600"}}).code, 200);
+  EXPECT_LE(deadline_ms, 300);  // the present name counts
+}
+
 TEST(CallRelay, ALinkThatClosesAfterReadingNeverRunsACallTwice) {
   // Answers the first call of a link and keeps it; reads the second and closes. Over a reused link the
   // library sends such a call again by itself.
-  CountingServer runner([](const Asked& asked) {
-    return asked.number_on_connection == 1 && asked.body == "{}"
-               ? std::make_pair(response_bytes(asked, "r1", "{}", "{}"), false)
+  CountingServer runner([](const ReceivedRequest& received) {
+    return received.number_on_connection == 1 && received.body == "{}"
+               ? std::make_pair(response_bytes(received, "r1", "{}", "{}"), false)
                : std::make_pair(std::string(), true);
   });
   Bench bench({runner.place()});
@@ -319,10 +350,10 @@
 TEST(CallRelay, ManyStreamsThatEndAtOnceDoNotHoldEachOtherUp) {
   // Four threads serve all links here. A relay that waits for its own close on one of them needs
   // another to be free: a daemon that woke from a freeze hung for good, with all threads waiting so.
-  std::atomic<int> asked{0};
-  CountingServer runner([&](const Asked& asked_call) {
-    ++asked;
-    return std::make_pair(stream_bytes(asked_call, "r1"), true);
+  std::atomic<int> request_count{0};
+  CountingServer runner([&](const ReceivedRequest& received) {
+    ++request_count;
+    return std::make_pair(stream_bytes(received, "r1"), true);
   });
   Bench bench({runner.place()}, 64);
   for (int round = 0; round < 8; ++round) {
@@ -332,5 +363,5 @@
     for (auto& call : calls)
       EXPECT_NE(call.get().body.find("event: sealed"), std::string::npos);
   }
-  EXPECT_EQ(asked, 320);
+  EXPECT_EQ(request_count, 320);
 }
--- a/packages/data-plane/tests/counting_server.hpp
+++ b/packages/data-plane/tests/counting_server.hpp
@@ -14,10 +14,10 @@
 namespace asio = boost::asio;
 using asio::ip::tcp;
 
-struct Asked {
+struct ReceivedRequest {
   int number_on_connection = 0;
   std::string path, head, body;
-  // Example: asked.header("X-Emberdale-Call")
+  // Example: received.header("X-Emberdale-Call")
   std::string header(const std::string& name) const {
     auto mark = head.find("\r\n" + name + ":");
     if (mark == std::string::npos)
@@ -31,7 +31,7 @@
 class CountingServer {
  public:
   // Gets a whole request; gives the bytes to send and whether to close the link then.
-  using Script = std::function<std::pair<std::string, bool>(const Asked&)>;
+  using Script = std::function<std::pair<std::string, bool>(const ReceivedRequest&)>;
   explicit CountingServer(Script script)
       : script_(std::move(script)), acceptor_(context_, tcp::endpoint(asio::ip::address_v4::loopback(), 0)) {
     accept();
@@ -83,10 +83,10 @@
               [this, connection, head, body](boost::system::error_code broken, std::size_t) {
                 if (broken)
                   return;
-                Asked asked;
-                asked.body.assign(asio::buffers_begin(connection->in.data()),
-                                  asio::buffers_begin(connection->in.data()) + static_cast<std::ptrdiff_t>(body));
-                asked.head = head;
+                ReceivedRequest received;
+                received.body.assign(asio::buffers_begin(connection->in.data()),
+                                     asio::buffers_begin(connection->in.data()) + static_cast<std::ptrdiff_t>(body));
+                received.head = head;
                 connection->in.consume(body);
                 std::string path = head.substr(head.find(' ') + 1);
                 path = path.substr(0, path.find(' '));
@@ -94,9 +94,9 @@
                   std::lock_guard<std::mutex> guard(mutex_);
                   ++executions_[path];  // the whole call has arrived: a back end would run it now
                 }
-                asked.path = path;
-                asked.number_on_connection = ++connection->number;
-                auto [out, is_close] = script_(asked);
+                received.path = path;
+                received.number_on_connection = ++connection->number;
+                auto [out, is_close] = script_(received);
                 connection->out = out;
                 asio::async_write(connection->socket, asio::buffer(connection->out),
                                   [this, connection, closes = is_close](boost::system::error_code, std::size_t) {
--- a/packages/data-plane/tests/data_daemon_test.cpp
+++ b/packages/data-plane/tests/data_daemon_test.cpp
@@ -175,7 +175,7 @@
     for (const auto& [to, subscribe] : step(daemon, old_map, now = now + Duration{50}, feed_old).subscriptions)
       first = to;
   ASSERT_FALSE(first.empty());
-  EXPECT_EQ(daemon.counts().homes_outdated, 0);  // nothing newer: it stays
+  EXPECT_EQ(daemon.counts().owners_outdated, 0);  // nothing newer: it stays
   TimePoint risen = now;
   Address other;
   while (other.empty() && now < risen + Duration{4000})
@@ -185,8 +185,8 @@
   ASSERT_FALSE(other.empty()) << "it stayed with a home that feeds an outdated map";
   EXPECT_GE(now, risen + Duration{700});  // the news may just be under way
   EXPECT_LE(now, risen + Duration{1500});
-  EXPECT_EQ(daemon.counts().homes_outdated, 1);
-  EXPECT_EQ(daemon.counts().homes_left, 0);  // it was never silent
+  EXPECT_EQ(daemon.counts().owners_outdated, 1);
+  EXPECT_EQ(daemon.counts().owners_ejected, 0);  // it was never silent
   // The other has the newer map: with it this daemon is behind no more, and stays there.
   auto feed_next = [&](const Address& home) {
     return std::optional<SliceUpdate>(plans_news(home == other ? next_map : old_map));
@@ -195,7 +195,7 @@
   while (now < fed + Duration{2500})
     for (const auto& [to, subscribe] : step(daemon, next_map, now = now + Duration{50}, feed_next).subscriptions)
       EXPECT_EQ(to, other);
-  EXPECT_EQ(daemon.counts().homes_outdated, 1);
+  EXPECT_EQ(daemon.counts().owners_outdated, 1);
   EXPECT_EQ(daemon.view()->config_revision, next_map.number);
   EXPECT_GT(daemon.grant().until, now);
 }
@@ -218,7 +218,7 @@
   }
   EXPECT_FALSE(home.empty());
   EXPECT_EQ(daemon.view()->config_revision, next_map.number);
-  EXPECT_EQ(daemon.counts().homes_outdated, 0);
+  EXPECT_EQ(daemon.counts().owners_outdated, 0);
 }
 
 TEST(DataDaemon, AHoldTakesWorkAwayAheadOfTheMapAndLapsesByItself) {
@@ -258,7 +258,7 @@
   // The register is out of reach; a control daemon that is no home answers pings.
   for (bool is_guard_out : {false, true}) {
     DataDaemon daemon = with_two_homes();
-    daemon.keeps_outdated_homes = is_guard_out;
+    daemon.keeps_outdated_owners = is_guard_out;
     std::int64_t has_next_at = -1;
     Address cut_off;
     for (std::int64_t ms = 100; ms <= 4000; ms += 50) {
@@ -281,7 +281,7 @@
     }
     if (is_guard_out) {
       EXPECT_EQ(has_next_at, -1);
-      EXPECT_EQ(daemon.counts().homes_outdated, 0);
+      EXPECT_EQ(daemon.counts().owners_outdated, 0);
     } else {
       EXPECT_GE(has_next_at, 1500);  // it is given the time that news takes on its way
       EXPECT_LE(has_next_at, 2000);
--- a/packages/data-plane/tests/data_path_stop_fuzz_test.cpp
+++ b/packages/data-plane/tests/data_path_stop_fuzz_test.cpp
@@ -47,9 +47,9 @@
 
 // A late refusal counts as in hand until it is written.
 bool is_empty_soon(const emberdale::RoutedRelay& relay) {
-  for (int waited_ms = 0; relay.in_hand() > 0 && waited_ms < in_hand_limit_ms; ++waited_ms)
+  for (int waited_ms = 0; relay.open_calls() > 0 && waited_ms < in_hand_limit_ms; ++waited_ms)
     std::this_thread::sleep_for(std::chrono::milliseconds(1));
-  return relay.in_hand() == 0;
+  return relay.open_calls() == 0;
 }
 
 std::vector<std::string> run_stop_case(const StopCase& chosen) {
--- a/packages/data-plane/tests/http_client_behaviour_test.cpp
+++ b/packages/data-plane/tests/http_client_behaviour_test.cpp
@@ -34,8 +34,8 @@
 }  // namespace
 
 TEST(HttpClientBehaviour, AReusedLinkThatClosesAfterReadingRunsTheCallAgain) {
-  CountingServer server([](const Asked& asked) {
-    return asked.number_on_connection == 1 ? std::make_pair(good, false) : std::make_pair(std::string(), true);
+  CountingServer server([](const ReceivedRequest& received) {
+    return received.number_on_connection == 1 ? std::make_pair(good, false) : std::make_pair(std::string(), true);
   });
   http_client client(server.url());
   ASSERT_TRUE(ask(client, "/first"));
@@ -45,9 +45,9 @@
 }
 
 TEST(HttpClientBehaviour, AFreshLinkSendsACallOnce) {
-  CountingServer server([](const Asked& asked) {
-    return asked.path == "/first" && asked.number_on_connection == 1 ? std::make_pair(good, false)
-                                                                     : std::make_pair(std::string(), true);
+  CountingServer server([](const ReceivedRequest& received) {
+    return received.path == "/first" && received.number_on_connection == 1 ? std::make_pair(good, false)
+                                                                           : std::make_pair(std::string(), true);
   });
   for (int i = 0; i < 20; ++i) {
     std::string path = "/call-" + std::to_string(i);
@@ -58,7 +58,7 @@
 }
 
 TEST(HttpClientBehaviour, ABodyCutShortOfItsContentLengthIsAnError) {
-  CountingServer server([](const Asked&) {
+  CountingServer server([](const ReceivedRequest&) {
     return std::make_pair(
         std::string("HTTP/1.1 200 OK\r\nContent-Length: 100\r\nContent-Type: text/plain\r\n\r\nonly this"), true);
   });
@@ -67,7 +67,7 @@
 }
 
 TEST(HttpClientBehaviour, AChunkedBodyWithoutItsLastChunkIsAnError) {
-  CountingServer server([](const Asked&) {
+  CountingServer server([](const ReceivedRequest&) {
     return std::make_pair(
         std::string("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nContent-Type: text/plain\r\n\r\n4\r\nonly\r\n"),
         true);
@@ -77,8 +77,8 @@
 }
 
 TEST(HttpClientBehaviour, SlowCallsBeyondTheThreadsDoNotHoldUpOthers) {
-  CountingServer slow([](const Asked&) { return std::make_pair(std::string(), false); });  // never answers
-  CountingServer quick([](const Asked&) { return std::make_pair(good, false); });
+  CountingServer slow([](const ReceivedRequest&) { return std::make_pair(std::string(), false); });  // never answers
+  CountingServer quick([](const ReceivedRequest&) { return std::make_pair(good, false); });
   std::vector<std::unique_ptr<http_client>> clients;
   std::vector<pplx::task<web::http::http_response>> waiting;
   pplx::cancellation_token_source stop;
