--- a/packages/data-plane/tests/routed_relay_test.cpp
+++ b/packages/data-plane/tests/routed_relay_test.cpp
@@ -298,15 +298,16 @@
   std::unique_ptr<RoutedRelay> relay_;
 };
 
-std::string answer(const RawMessage& asked, const std::string& body, const std::string& status = "200 OK",
+std::string answer(const RawMessage& received, const std::string& body, const std::string& status = "200 OK",
                    const std::string& headers = "") {
-  return "HTTP/1.1 " + status + "\r\nT-Call: " + asked.header("T-Call") +
-         "\r\nT-Life: " + asked.header("T-Life-Expected") + "\r\nT-Seal: seal-of-" + asked.header("T-Life-Expected") +
-         "\r\n" + headers + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
+  return "HTTP/1.1 " + status + "\r\nT-Call: " + received.header("T-Call") +
+         "\r\nT-Life: " + received.header("T-Life-Expected") + "\r\nT-Seal: seal-of-" +
+         received.header("T-Life-Expected") + "\r\n" + headers + "Content-Length: " + std::to_string(body.size()) +
+         "\r\n\r\n" + body;
 }
 
-std::string stream_head(const RawMessage& asked, const std::string& seal = "seal") {
-  return "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream; charset=utf-8\r\nT-Call: " + asked.header("T-Call") +
+std::string stream_head(const RawMessage& received, const std::string& seal = "seal") {
+  return "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream; charset=utf-8\r\nT-Call: " + received.header("T-Call") +
          "\r\nT-Seal: " + seal + "\r\nTransfer-Encoding: chunked\r\n\r\n";
 }
 
@@ -322,10 +323,10 @@
 
 TEST(RoutedRelay, AnAnswerAndItsCallGoThroughUnchanged) {
   RawMessage seen;
-  ScriptedRunner runner([&](RawConnection& connection, const RawMessage& asked) {
-    seen = asked;
+  ScriptedRunner runner([&](RawConnection& connection, const RawMessage& received) {
+    seen = received;
     connection.write(
-        answer(asked, std::string("a\0b", 3), "207 Many",
+        answer(received, std::string("a\0b", 3), "207 Many",
                "Content-Type: application/x-own\r\nX-Own: 7\r\nConnection: X-Hop\r\nX-Hop: 1\r\nT-Burden: 1,0,8\r\n"));
     return true;
   });
@@ -361,9 +362,9 @@
 
 TEST(RoutedRelay, EveryTargetGoesThroughByteForByte) {
   std::string seen;
-  ScriptedRunner runner([&](RawConnection& connection, const RawMessage& asked) {
-    seen = asked.start;
-    connection.write(answer(asked, ""));
+  ScriptedRunner runner([&](RawConnection& connection, const RawMessage& received) {
+    seen = received.start;
+    connection.write(answer(received, ""));
     return true;
   });
   Bench bench({runner.place()});
@@ -377,11 +378,11 @@
 TEST(RoutedRelay, ACallThatMayNotBeRepeatedIsSentOnceOverALinkThatCloses) {
   std::atomic<int> runs{0};
   std::atomic<bool> is_closing{false};
-  ScriptedRunner runner([&](RawConnection& connection, const RawMessage& asked) {
+  ScriptedRunner runner([&](RawConnection& connection, const RawMessage& received) {
     ++runs;
     if (is_closing)
       return false;
-    connection.write(answer(asked, "{}"));
+    connection.write(answer(received, "{}"));
     return true;  // the link would be there for another call
   });
   Bench bench({runner.place()});
@@ -396,8 +397,8 @@
 
 TEST(RoutedRelay, AnAnswerCutShortIsNeverHandedOn) {
   std::atomic<int> runs{0};
-  auto script = [&](RawConnection& connection, const RawMessage& asked) {
-    std::string bytes = answer(asked, "the whole answer");
+  auto script = [&](RawConnection& connection, const RawMessage& received) {
+    std::string bytes = answer(received, "the whole answer");
     connection.write(++runs == 1 ? bytes.substr(0, bytes.size() - 4) : bytes);
     return runs != 1;
   };
@@ -419,12 +420,12 @@
 
 TEST(RoutedRelay, RedirectsAndEncodedAnswersAreTheRunnersOwn) {
   std::atomic<int> runs{0};
-  auto script = [&](RawConnection& connection, const RawMessage& asked) {
+  auto script = [&](RawConnection& connection, const RawMessage& received) {
     ++runs;
-    if (asked.start.find("/moved") != std::string::npos)
-      connection.write(answer(asked, "", "307 Moved", "Location: /once/other\r\n"));
+    if (received.start.find("/moved") != std::string::npos)
+      connection.write(answer(received, "", "307 Moved", "Location: /once/other\r\n"));
     else
-      connection.write(answer(asked, "\x1f\x8b not really", "200 OK", "Content-Encoding: gzip\r\n"));
+      connection.write(answer(received, "\x1f\x8b not really", "200 OK", "Content-Encoding: gzip\r\n"));
     return true;
   };
   ScriptedRunner one(script), two(script);
@@ -443,8 +444,8 @@
 }
 
 TEST(RoutedRelay, AnAnswerThatDoesNotTellItsLengthIsNeverHandedOn) {
-  ScriptedRunner runner([&](RawConnection& connection, const RawMessage& asked) {
-    connection.write("HTTP/1.1 200 OK\r\nT-Seal: s\r\nT-Call: " + asked.header("T-Call") + "\r\n\r\nhalf or whole");
+  ScriptedRunner runner([&](RawConnection& connection, const RawMessage& received) {
+    connection.write("HTTP/1.1 200 OK\r\nT-Seal: s\r\nT-Call: " + received.header("T-Call") + "\r\n\r\nhalf or whole");
     return false;
   });
   Bench bench({runner.place()});
@@ -452,8 +453,8 @@
 }
 
 TEST(RoutedRelay, AStreamCutWithinAnEventEndsVisiblyBroken) {
-  ScriptedRunner runner([&](RawConnection& connection, const RawMessage& asked) {
-    connection.write(stream_head(asked) + chunk(event(1)) + chunk(event(2) + "id: 3\ndata: hal"));
+  ScriptedRunner runner([&](RawConnection& connection, const RawMessage& received) {
+    connection.write(stream_head(received) + chunk(event(1)) + chunk(event(2) + "id: 3\ndata: hal"));
     return false;
   });
   Bench bench({runner.place()});
@@ -473,9 +474,9 @@
   std::atomic<int> runs{0};
   std::atomic<std::size_t> cut{0};
   std::string resume;
-  auto script = [&](RawConnection& connection, const RawMessage& asked) {
+  auto script = [&](RawConnection& connection, const RawMessage& received) {
     if (++runs == 1) {
-      std::string bytes = stream_head(asked, "first");
+      std::string bytes = stream_head(received, "first");
       for (std::size_t at = 0; at < plain.size(); at += 13)
         bytes += chunk(plain.substr(at, 13));
       bytes += "0\r\n\r\n";
@@ -483,12 +484,12 @@
       connection.write(bytes.substr(0, cut));
       return false;
     }
-    resume = asked.header("Last-Event-Id");
+    resume = received.header("Last-Event-Id");
     int last = resume.empty() ? 0 : std::stoi(resume);
     std::string rest = ": again\n\n";
     for (int id = std::max(1, last); id <= 4; ++id)
       rest += event(id);  // one of them was there before
-    connection.write(stream_head(asked, "second") + chunk(rest) + "0\r\n\r\n");
+    connection.write(stream_head(received, "second") + chunk(rest) + "0\r\n\r\n");
     return true;
   };
   int resumed = 0;
@@ -515,8 +516,8 @@
 }
 
 TEST(RoutedRelay, AStreamThatCanGoOnNowhereEndsVisiblyBroken) {
-  ScriptedRunner runner([&](RawConnection& connection, const RawMessage& asked) {
-    connection.write(stream_head(asked) + chunk("data: no id\n\n"));
+  ScriptedRunner runner([&](RawConnection& connection, const RawMessage& received) {
+    connection.write(stream_head(received) + chunk("data: no id\n\n"));
     return false;
   });
   Bench bench({runner.place()});
@@ -528,18 +529,18 @@
 // The answer to call-1 comes once more, in the given form, before call-2 goes over the same link.
 struct LateAnswer {
   Told told;  // to call-2
-  std::int64_t foreign_answers = 0;
+  std::int64_t foreign_responses = 0;
 };
 
 LateAnswer ask_after_late_answer(const std::function<std::string(const RawMessage&)>& late_answer) {
   std::promise<void> go, written;
   std::atomic<int> runs{0};
-  ScriptedRunner runner([&](RawConnection& connection, const RawMessage& asked) {
+  ScriptedRunner runner([&](RawConnection& connection, const RawMessage& received) {
     int run = ++runs;
-    connection.write(answer(asked, "for " + asked.header("T-Call")));
+    connection.write(answer(received, "for " + received.header("T-Call")));
     if (run == 1) {
       go.get_future().wait();
-      connection.write(late_answer(asked));
+      connection.write(late_answer(received));
       written.set_value();
     }
     return true;
@@ -550,7 +551,7 @@
   written.get_future().wait();
   Told told = bench.ask("/again/x", "call-2");
   EXPECT_TRUE(told.code == 502 || told.body == "for call-2") << told.code << " " << told.body;
-  return {told, bench.relay().relay_counts().foreign_answers};
+  return {told, bench.relay().relay_counts().foreign_responses};
 }
 
 // One too many that names no call at all was once taken for the answer to the next call on its link.
@@ -559,24 +560,24 @@
     LateAnswer late = ask_after_late_answer(
         [&](const RawMessage&) { return "HTTP/1.1 " + status + "\r\nT-Seal: s\r\nContent-Length: 6\r\n\r\nnobody"; });
     EXPECT_NE(late.told.body, "nobody") << status;
-    EXPECT_EQ(late.foreign_answers, 1) << status;
+    EXPECT_EQ(late.foreign_responses, 1) << status;
   }
 }
 
 TEST(RoutedRelay, ALateAnswerToAnotherCallIsNeverHandedOn) {
   LateAnswer late = ask_after_late_answer(
-      [](const RawMessage& asked) { return answer(asked, "once more for " + asked.header("T-Call")); });
+      [](const RawMessage& received) { return answer(received, "once more for " + received.header("T-Call")); });
   EXPECT_NE(late.told.body, "once more for call-1");
-  EXPECT_EQ(late.foreign_answers, 1);
+  EXPECT_EQ(late.foreign_responses, 1);
 }
 
 // 408, 429 and 503 promise the caller that the call did not run; only the mark of a runner makes that certain.
 TEST(RoutedRelay, AStatusThatPromisesNotToHaveRunIsNotHandedOnWithoutTheMark) {
   for (const std::string status : {"503 Full", "429 Busy", "408 Late"}) {
     std::atomic<int> runs{0};
-    auto script = [&](RawConnection& connection, const RawMessage& asked) {
+    auto script = [&](RawConnection& connection, const RawMessage& received) {
       ++runs;
-      connection.write(answer(asked, "unmarked", status));
+      connection.write(answer(received, "unmarked", status));
       return true;
     };
     ScriptedRunner one(script), two(script);
@@ -595,8 +596,8 @@
 
 TEST(RoutedRelay, AStatusOutsideTheProtocolIsNeverHandedOn) {
   for (const std::string status : {"999 Odd", "600 Odd", "099 Odd", "70000 Odd"}) {
-    ScriptedRunner runner([&](RawConnection& connection, const RawMessage& asked) {
-      connection.write(answer(asked, "odd", status));
+    ScriptedRunner runner([&](RawConnection& connection, const RawMessage& received) {
+      connection.write(answer(received, "odd", status));
       return true;
     });
     Bench bench({runner.place()});
@@ -607,9 +608,9 @@
 // Two readers that see the end of such a body at different places would see a second request in it.
 TEST(RoutedRelay, ABodyWhoseEndIsNotClearIsRefusedAndNothingInItRuns) {
   std::atomic<int> runs{0};
-  ScriptedRunner runner([&](RawConnection& connection, const RawMessage& asked) {
+  ScriptedRunner runner([&](RawConnection& connection, const RawMessage& received) {
     ++runs;
-    connection.write(answer(asked, "{}"));
+    connection.write(answer(received, "{}"));
     return true;
   });
   for (const std::string framing :
@@ -630,11 +631,11 @@
 TEST(RoutedRelay, WhatSurelyDidNotRunGoesToTheNextRunner) {
   for (const std::string refusal : {"421 Other", "503 Full\r\nT-Not-Run: yes", "429 Busy\r\nT-Not-Run: yes"}) {
     std::atomic<int> runs{0};
-    auto script = [&](RawConnection& connection, const RawMessage& asked) {
+    auto script = [&](RawConnection& connection, const RawMessage& received) {
       if (++runs == 1)
         connection.write("HTTP/1.1 " + refusal + "\r\nT-Burden: 8,3,8\r\nContent-Length: 4\r\n\r\nfull");
       else
-        connection.write(answer(asked, "{}"));
+        connection.write(answer(received, "{}"));
       return true;
     };
     ScriptedRunner one(script), two(script);
@@ -646,9 +647,9 @@
 
 TEST(RoutedRelay, NoLinkMeansTheNextRunner) {
   std::atomic<int> runs{0};
-  ScriptedRunner good([&](RawConnection& connection, const RawMessage& asked) {
+  ScriptedRunner good([&](RawConnection& connection, const RawMessage& received) {
     ++runs;
-    connection.write(answer(asked, "{}"));
+    connection.write(answer(received, "{}"));
     return true;
   });
   for (int i = 0; i < 4; ++i) {
@@ -665,11 +666,11 @@
 
 TEST(RoutedRelay, AnAnswerWithoutASealIsNeverHandedOn) {
   std::atomic<int> runs{0};
-  auto script = [&](RawConnection& connection, const RawMessage& asked) {
+  auto script = [&](RawConnection& connection, const RawMessage& received) {
     if (++runs == 1)
       connection.write("HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\nunsealed");
     else
-      connection.write(answer(asked, "sealed"));
+      connection.write(answer(received, "sealed"));
     return true;
   };
   ScriptedRunner one(script), two(script);
@@ -686,11 +687,11 @@
 TEST(RoutedRelay, ARunnersOwnFailureIsHandedOnAndARepeatableOneTriedElsewhereFirst) {
   std::atomic<int> runs{0};
   std::atomic<int> failing{1};
-  auto script = [&](RawConnection& connection, const RawMessage& asked) {
+  auto script = [&](RawConnection& connection, const RawMessage& received) {
     if (++runs <= failing)
-      connection.write(answer(asked, "own words", "500 Own", "X-Own: 1\r\n"));
+      connection.write(answer(received, "own words", "500 Own", "X-Own: 1\r\n"));
     else
-      connection.write(answer(asked, "{}"));
+      connection.write(answer(received, "{}"));
     return true;
   };
   ScriptedRunner one(script), two(script);
@@ -715,10 +716,10 @@
 TEST(RoutedRelay, BodiesComeByLengthOrChunkedAndWithinTheLimit) {
   std::string seen;
   std::atomic<int> runs{0};
-  ScriptedRunner runner([&](RawConnection& connection, const RawMessage& asked) {
+  ScriptedRunner runner([&](RawConnection& connection, const RawMessage& received) {
     ++runs;
-    seen = asked.body;
-    connection.write(answer(asked, "{}"));
+    seen = received.body;
+    connection.write(answer(received, "{}"));
     return true;
   });
   Bench bench({runner.place()});
@@ -768,13 +769,13 @@
 TEST(RoutedRelay, WhatASilentRunnerSaysAfterItWasGivenUpIsNeverHandedOn) {
   std::atomic<int> runs{0};
   std::promise<bool> closed;
-  auto script = [&](RawConnection& connection, const RawMessage& asked) {
+  auto script = [&](RawConnection& connection, const RawMessage& received) {
     if (++runs == 1) {
       closed.set_value(connection.is_closed_by_other());  // the dispatcher gives it up
-      connection.write(answer(asked, "late"));
+      connection.write(answer(received, "late"));
       return false;
     }
-    connection.write(answer(asked, "in time"));
+    connection.write(answer(received, "in time"));
     return true;
   };
   ScriptedRunner one(script), two(script);
@@ -789,8 +790,8 @@
 TEST(RoutedRelay, ACallerThatLeavesWithinAStreamFreesTheRunner) {
   std::promise<void> left;
   std::promise<bool> closed;
-  ScriptedRunner runner([&](RawConnection& connection, const RawMessage& asked) {
-    connection.write(stream_head(asked) + chunk(event(1)));
+  ScriptedRunner runner([&](RawConnection& connection, const RawMessage& received) {
+    connection.write(stream_head(received) + chunk(event(1)));
     left.get_future().wait();
     // Two more: the first meets the closed link, the second its reset.
     std::thread writing([&] {
@@ -812,11 +813,11 @@
 }
 
 TEST(RoutedRelay, ACallerLinkServesManyCalls) {
-  ScriptedRunner runner([&](RawConnection& connection, const RawMessage& asked) {
-    if (asked.start.find("/stream/") != std::string::npos)
-      connection.write(stream_head(asked) + chunk(event(1)) + "0\r\n\r\n");
+  ScriptedRunner runner([&](RawConnection& connection, const RawMessage& received) {
+    if (received.start.find("/stream/") != std::string::npos)
+      connection.write(stream_head(received) + chunk(event(1)) + "0\r\n\r\n");
     else
-      connection.write(answer(asked, "for " + asked.header("T-Call")));
+      connection.write(answer(received, "for " + received.header("T-Call")));
     return true;
   });
   Bench bench({runner.place()});
@@ -832,8 +833,8 @@
 }
 
 TEST(RoutedRelay, AnswersWithoutABodyEndAtOnce) {
-  ScriptedRunner runner([&](RawConnection& connection, const RawMessage& asked) {
-    if (asked.start.rfind("HEAD", 0) == 0)
+  ScriptedRunner runner([&](RawConnection& connection, const RawMessage& received) {
+    if (received.start.rfind("HEAD", 0) == 0)
       connection.write("HTTP/1.1 200 OK\r\nT-Call: c\r\nT-Seal: s\r\nContent-Length: 77\r\n\r\n");
     else
       connection.write("HTTP/1.1 204 None\r\nT-Call: c\r\nT-Seal: s\r\n\r\n");
@@ -849,17 +850,17 @@
 
 TEST(RoutedRelay, WhileStoppingCallsAreServedAndCallersSentElsewhere) {
   std::promise<void> asked_for, go;
-  ScriptedRunner runner([&](RawConnection& connection, const RawMessage& asked) {
-    if (asked.header("T-Call") == "held") {
+  ScriptedRunner runner([&](RawConnection& connection, const RawMessage& received) {
+    if (received.header("T-Call") == "held") {
       asked_for.set_value();
       go.get_future().wait();
     }
-    connection.write(answer(asked, "{}"));
+    connection.write(answer(received, "{}"));
     return true;
   });
   Bench bench({runner.place()});
   EXPECT_TRUE(bench.relay().ready());
-  bench.relay().begin_stopping();
+  bench.relay().begin_draining();
   EXPECT_FALSE(bench.relay().ready());
   Told told = bench.ask("/once/x");
   EXPECT_EQ(told.code, 200);
@@ -871,13 +872,13 @@
   go.set_value();
   EXPECT_EQ(read_response(*connection).code, 200);
   stopping.join();
-  EXPECT_EQ(bench.relay().in_hand(), 0u);
+  EXPECT_EQ(bench.relay().open_calls(), 0u);
 }
 
 TEST(RoutedRelay, StoppingBreaksOffWhatDoesNotEnd) {
   std::promise<void> asked_for;
-  ScriptedRunner runner([&](RawConnection& connection, const RawMessage& asked) {
-    connection.write(stream_head(asked) + chunk(event(1)));
+  ScriptedRunner runner([&](RawConnection& connection, const RawMessage& received) {
+    connection.write(stream_head(received) + chunk(event(1)));
     asked_for.set_value();
     return !connection.is_closed_by_other();
   });
@@ -931,17 +932,17 @@
   EXPECT_EQ(told.code, 503);
   EXPECT_TRUE(told.message.has("T-Not-Run"));
   EXPECT_LT(std::chrono::steady_clock::now() - begun, std::chrono::seconds(8));
-  for (int waited_ms = 0; bench.relay().in_hand() > 0 && waited_ms < 5000; ++waited_ms)
+  for (int waited_ms = 0; bench.relay().open_calls() > 0 && waited_ms < 5000; ++waited_ms)
     std::this_thread::sleep_for(std::chrono::milliseconds(1));  // it counts until its refusal is written
-  EXPECT_EQ(bench.relay().in_hand(), 0u);
+  EXPECT_EQ(bench.relay().open_calls(), 0u);
   EXPECT_EQ(runs, 1);
 }
 
 // Another listener in the process keeps the library's server going, which says 404 where a listener is gone; after a
 // 404 a caller does not try again.
 TEST(RoutedRelay, AfterItsEndADaemonStillRefusesOnOpenLinks) {
-  ScriptedRunner runner([&](RawConnection& connection, const RawMessage& asked) {
-    connection.write(answer(asked, "{}"));
+  ScriptedRunner runner([&](RawConnection& connection, const RawMessage& received) {
+    connection.write(answer(received, "{}"));
     return true;
   });
   Bench other({runner.place()});
@@ -959,10 +960,10 @@
 
 TEST(RoutedRelay, LinksToRunnersSendAtOnceAndGiveUpSilentMachines) {
   std::promise<void> asked_for, go;
-  ScriptedRunner runner([&](RawConnection& connection, const RawMessage& asked) {
+  ScriptedRunner runner([&](RawConnection& connection, const RawMessage& received) {
     asked_for.set_value();
     go.get_future().wait();
-    connection.write(answer(asked, "{}"));
+    connection.write(answer(received, "{}"));
     return true;
   });
   Bench bench({runner.place()});
@@ -1033,9 +1034,9 @@
 RC_GTEST_PROP(RoutedRelayReaders, EventsAreCutTheSameHoweverTheBytesCome, ()) {
   auto text = *rc::gen::container<std::string>(rc::gen::elementOf(std::string("\n\n\n\r:adi1 \n")));
   auto sizes = *rc::gen::container<std::vector<int>>(rc::gen::inRange(1, 9));
-  RawCutter whole, pieces;
+  EventSplitter whole, pieces;
   auto expected = whole.feed(text);
-  std::vector<RawEvent> events;
+  std::vector<EncodedEvent> events;
   std::size_t at = 0;
   for (int size : sizes) {
     if (at >= text.size())
@@ -1060,7 +1061,7 @@
 
 RC_GTEST_PROP(RoutedRelayReaders, AResumedStreamHasNothingTwiceAndNothingMissing, ()) {
   auto steps = *rc::gen::container<std::vector<int>>(rc::gen::inRange(1, 40));
-  std::vector<RawEvent> all;
+  std::vector<EncodedEvent> all;
   int id = 95;
   for (int step : steps) {
     id += step;
@@ -1072,10 +1073,10 @@
   auto broken = *rc::gen::inRange<std::size_t>(0, all.size() + 1);
   auto again = *rc::gen::inRange<std::size_t>(0, broken + 1);
   std::string out, last;
-  EventSieve first("");
+  ResumeFilter first("");
   for (std::size_t i = 0; i < broken; ++i)
     out += first.pass(all[i]);
-  EventSieve second(first.last());
+  ResumeFilter second(first.last());
   if (!first.last().empty()) {
     for (std::size_t i = again; i < all.size(); ++i)
       out += second.pass(all[i]);
--- a/packages/fleet-simulator/include/emberdale/fleet_simulation.hpp
+++ b/packages/fleet-simulator/include/emberdale/fleet_simulation.hpp
@@ -221,9 +221,9 @@
   // Callers and calls.
   void ask_call();
   void flush_dispatcher(Node& node);
-  void run_send(const std::string& daemon, const SendAct& act);
+  void run_send(const std::string& daemon, const CallAttempt& act);
   void end_call(CallIndex index, const std::string& outcome, const std::string& reason = "");
-  void end_finally(const FinalAct& act);
+  void end_finally(const FinalResponse& act);
   bool has_room(const CallRecord& call) const;
   void end_read(const std::string& where, std::int64_t begun, const FleetState& state);
   void end_edit(const std::shared_ptr<EditOutcome>& outcome, const EditResponse& response);
--- a/packages/fleet-simulator/src/fleet_simulation.cpp
+++ b/packages/fleet-simulator/src/fleet_simulation.cpp
@@ -123,7 +123,7 @@
       target.dispatcher->on_timer(clock(target));
     }
     flush(target);
-    if (target.is_stopping && target.dispatcher && target.dispatcher->in_hand() == 0)
+    if (target.is_stopping && target.dispatcher && target.dispatcher->open_calls() == 0)
       return kill(name);
   }
   at(now_ + tick_ms, [this, name, incarnation] { tick(name, incarnation); });
@@ -131,7 +131,7 @@
 
 void FleetSimulation::refresh_dispatcher(Node& target) {
   // Two guards keep an old map from serving: the grant, and leaving homes that are outdated.
-  target.data->keeps_outdated_homes = is_grant_check_off;
+  target.data->keeps_outdated_owners = is_grant_check_off;
   target.dispatcher->set_grant(is_grant_check_off ? Grant{clock(target) + Duration{60000}, {}} : target.data->grant());
   auto view = target.data->view();
   if (is_mark_ignored) {
@@ -141,7 +141,7 @@
         row.status = "warm";
     view = misread;
   }
-  target.dispatcher->see(view, clock(target));
+  target.dispatcher->update_view(view, clock(target));
 }
 
 void FleetSimulation::make_control(Node& made) {
--- a/packages/fleet-simulator/src/simulated_calls.cpp
+++ b/packages/fleet-simulator/src/simulated_calls.cpp
@@ -82,7 +82,7 @@
     watch_.refused(now_, index, call.wish.is_repeatable);
 }
 
-void FleetSimulation::end_finally(const FinalAct& act) {
+void FleetSimulation::end_finally(const FinalResponse& act) {
   trace(TraceEvent::call_refused, act.call, act.code, act.may_have_run, act.retry_after.value);
   bool wants_grant = act.reason.find("proven current") != std::string::npos;
   end_call(act.call,
@@ -94,13 +94,13 @@
 }
 
 void FleetSimulation::flush_dispatcher(Node& target) {
-  for (const auto& act : target.dispatcher->take_sends())
+  for (const auto& act : target.dispatcher->drain_attempts())
     run_send(target.name, act);
-  for (const auto& act : target.dispatcher->take_finals())
+  for (const auto& act : target.dispatcher->drain_final_responses())
     end_finally(act);
 }
 
-void FleetSimulation::run_send(const std::string& daemon, const SendAct& act) {
+void FleetSimulation::run_send(const std::string& daemon, const CallAttempt& act) {
   Node& sender = node(daemon);
   SimulatedRunner& runner = runners_.at(act.runner.text);
   CallRecord& call = calls_.at(act.call);
@@ -108,13 +108,13 @@
   watch_.sent(now_, {act.call, daemon, runner.name, runner.region, call.wish.home, sender.data->view()->config_revision,
                      act.is_retry});
   std::int64_t incarnation = sender.incarnation;
-  auto finish = [this, daemon, incarnation, act](SendEnd end) {
+  auto finish = [this, daemon, incarnation, act](AttemptResult end) {
     on_node(daemon, [this, daemon, incarnation, act, end](Node& awake) {
       if (awake.incarnation != incarnation)
         return;
-      if (end.kind == SendEndKind::answered)
+      if (end.outcome == AttemptOutcome::completed)
         end_call(act.call, "served");
-      if (end.kind == SendEndKind::lost && is_lost_call_resent)
+      if (end.outcome == AttemptOutcome::lost && is_lost_call_resent)
         run_send(daemon, act);
       refresh_dispatcher(awake);
       awake.dispatcher->on_attempt_finished(end, clock(awake));
@@ -123,12 +123,12 @@
   };
   std::int64_t wait = sender.region == runner.region ? 1 : shape_.far_delay;
   std::int64_t deadline = now_ + (act.deadline - clock(sender)).value;
-  auto report = [this, index = act.call](const SimulatedRunner& from, SendEndKind kind, const std::string& reason) {
-    SendEnd end;
+  auto report = [this, index = act.call](const SimulatedRunner& from, AttemptOutcome kind, const std::string& reason) {
+    AttemptResult end;
     end.call = index;
-    end.kind = kind;
+    end.outcome = kind;
     end.reason = reason;
-    end.has_report = kind == SendEndKind::answered || kind == SendEndKind::refused;
+    end.has_report = kind == AttemptOutcome::completed || kind == AttemptOutcome::refused;
     end.incarnation = from.incarnation;
     end.load = from.running;
     end.capacity = from.capacity;
@@ -137,7 +137,7 @@
   };
   auto vanish = [this, deadline, finish, report, runner = act.runner.text] {
     at(std::max(now_, deadline), [this, finish, report, runner] {
-      finish(report(runners_.at(runner), SendEndKind::lost, "no answer within the deadline"));
+      finish(report(runners_.at(runner), AttemptOutcome::lost, "no answer within the deadline"));
     });
   };
   bool is_cut = network_.is_cut(daemon, act.runner.text);
@@ -146,7 +146,7 @@
     if (is_cut || (target.is_up && target.is_hung))
       return vanish();
     if (!target.is_up)
-      return finish(report(target, SendEndKind::unsent, "no link"));
+      return finish(report(target, AttemptOutcome::not_sent, "no link"));
     bool is_warming_up = target.is_warming_up(now_);
     std::string refusal = target.take(now_, act.incarnation, !is_incarnation_check_off);
     // What a runner refuses as too much while it is cold was a flood, whether or not it could fend it off.
@@ -154,7 +154,7 @@
       watch_.asked_while_warming_up(now_, target.name, target.running + (refusal.empty() ? 0 : 1), target.allowance);
     if (!refusal.empty()) {
       ++figures_.refused_by_runner;
-      return finish(report(target, SendEndKind::refused, refusal));
+      return finish(report(target, AttemptOutcome::refused, refusal));
     }
     const CallRecord& record = calls_.at(act.call);
     watch_.ran(now_, act.call, record.wish.is_repeatable);
@@ -164,14 +164,14 @@
       at(now_ + wait + 20, [this, daemon, index = act.call, incarnation = node(daemon).incarnation] {
         on_node(daemon, [incarnation, index](Node& awake) {
           if (awake.incarnation == incarnation)
-            awake.dispatcher->first_piece(index);
+            awake.dispatcher->on_stream_event(index);
         });
       });
     at(now_ + service, [this, act, wait, deadline, finish, report, vanish, work_generation] {
       SimulatedRunner& done = runners_.at(act.runner.text);
       if (done.work_generation != work_generation) {
         later(wait, [this, act, finish, report] {
-          finish(report(runners_.at(act.runner.text), SendEndKind::lost, "link broke"));
+          finish(report(runners_.at(act.runner.text), AttemptOutcome::lost, "link broke"));
         });
         return;
       }
@@ -179,7 +179,7 @@
         return vanish();
       done.finish();
       bool is_late = now_ + wait > deadline;
-      auto end = report(done, is_late ? SendEndKind::lost : SendEndKind::answered,
+      auto end = report(done, is_late ? AttemptOutcome::lost : AttemptOutcome::completed,
                         is_late ? "no answer within the deadline" : "");
       later(wait, [finish, end] { finish(end); });
     });
