--- a/packages/call-matching/src/call_dispatcher.cpp
+++ b/packages/call-matching/src/call_dispatcher.cpp
@@ -57,7 +57,7 @@
     ++load.spilled;
     ++counts_.spilled;
   }
-  if (row.status == "cold")
+  if (row.state == RunnerState::warming_up)
     ++counts_.warmup_sends;
   call.runner = *runner;
   call.is_spilled = is_spill;
--- a/packages/call-matching/src/call_endpoint_selection.cpp
+++ b/packages/call-matching/src/call_endpoint_selection.cpp
@@ -15,7 +15,7 @@
 
 // A warming runner is bounded by this daemon's slow-start quota, a warm one by its capacity.
 std::int64_t CallDispatcher::load_limit(const RunnerRow& row, TimePoint now) const {
-  if (row.status != "cold")
+  if (row.state != RunnerState::warming_up)
     return row.capacity;
   if (grant_.warming_up_until <= now)
     return 0;  // the quota may have been given to another daemon by now
@@ -28,7 +28,7 @@
 std::optional<CallDispatcher::Candidate> CallDispatcher::candidate_of(const Call& call, const RunnerRow& row,
                                                                       TimePoint now, bool is_last_resort) const {
   static const EndpointState unused;
-  if (row.status != "warm" && row.status != "cold")
+  if (row.state != RunnerState::warm && row.state != RunnerState::warming_up)
     return std::nullopt;
   if (std::find(call.tried.begin(), call.tried.end(), row.name) != call.tried.end())
     return std::nullopt;
@@ -40,7 +40,7 @@
     return std::nullopt;
   // A runner warms up once in an incarnation: a map that calls this one warm is right, whatever an older report said.
   std::int64_t limit = load_limit(row, now);
-  std::int64_t load = row.status == "cold" ? endpoint.in_flight : load_of(row, endpoint);
+  std::int64_t load = row.state == RunnerState::warming_up ? endpoint.in_flight : load_of(row, endpoint);
   if (load >= limit)
     return std::nullopt;
   return Candidate{&row, load, limit};
--- a/packages/call-matching/src/lease_manager.cpp
+++ b/packages/call-matching/src/lease_manager.cpp
@@ -7,7 +7,6 @@
 
 constexpr std::size_t max_pending_reads = 32;
 constexpr Duration register_silence{700};  // without a renewal for so long the master is asked as well
-constexpr const char* requester_role = "data";
 
 }  // namespace
 
@@ -33,7 +32,7 @@
   for (const auto& entry : next_acceptors_)
     replicas.insert(entry.address);
   for (const auto& replica : replicas)
-    outbound_.push_back({replica, ReadRequest{request_id, requester_role, Ballot{}, false, false}});
+    outbound_.push_back({replica, ReadRequest{request_id, DaemonRole::data, Ballot{}, false, false}});
   bool is_register_silent = grant_.until - now < Duration{grant_length.value - register_silence.value};
   if (is_register_silent && !master.empty())
     outbound_.push_back({master, LeaseRequest{request_id}});
--- a/packages/call-routing/src/endpoint_selector.cpp
+++ b/packages/call-routing/src/endpoint_selector.cpp
@@ -119,7 +119,7 @@
   std::size_t warm = 0;
   for (const auto& name : pool) {
     const RunnerRow& row = context.view.runners.at(name);
-    if (row.status != "warm")
+    if (row.state != RunnerState::warm)
       continue;
     ++warm;
     auto last = last_short_call_.find({row.pool, row.region});
@@ -146,7 +146,7 @@
 // Long prompts are owned by runners of all regions (to bring one there costs less than to read its shared parts
 // twice), short ones by runners of this daemon's region.
 bool EndpointSelector::may_own_affinity(const Query& query, const RunnerRow& row) const {
-  if (row.status != "warm" || !is_home_region(query.homes, row.region))
+  if (row.state != RunnerState::warm || !is_home_region(query.homes, row.region))
     return false;
   if (!query.is_long && query.homes.empty() && row.region != settings_.region)
     return false;
@@ -176,8 +176,8 @@
 
 bool EndpointSelector::is_eligible(const Query& query, const RunnerRow& row, const EndpointState& endpoint) const {
   const SelectionContext& context = query.context;
-  bool is_warming_up = row.status == "cold";
-  if (row.status != "warm" && !is_warming_up)
+  bool is_warming_up = row.state == RunnerState::warming_up;
+  if (row.state != RunnerState::warm && !is_warming_up)
     return false;
   if (!is_home_region(query.homes, row.region) || query.call.tried.count(row.name) != 0)
     return false;
@@ -217,7 +217,7 @@
   if (!query.for_long_prompts.empty() && query.is_long != (query.for_long_prompts.count(row.name) != 0))
     cost += query.is_long ? long_among_short_cost : short_among_long_cost;
   cost += static_cast<double>(endpoint.pending_prompt_tokens()) / prompt_tokens_per_ms;
-  if (row.status == "cold")
+  if (row.state == RunnerState::warming_up)
     cost += warming_cost;
   if (!call.prompt.empty()) {
     std::int64_t uncached = uncached_tokens(call, query.owners.primary == &row, query.owners.secondary == &row);
--- a/packages/call-routing/src/route_admission.cpp
+++ b/packages/call-routing/src/route_admission.cpp
@@ -124,7 +124,8 @@
     return false;
   return std::any_of(pool->second.begin(), pool->second.end(), [&](const RunnerName& name) {
     const RunnerRow& row = view_->runners.at(name);
-    return (row.status == "warm" || row.status == "cold") && is_home_region(call.route->homes, row.region);
+    return (row.state == RunnerState::warm || row.state == RunnerState::warming_up) &&
+           is_home_region(call.route->homes, row.region);
   });
 }
 
--- a/packages/call-routing/src/route_dispatcher.cpp
+++ b/packages/call-routing/src/route_dispatcher.cpp
@@ -54,7 +54,7 @@
   ++call.attempt_number;
   counts_.read_tokens += call.uncached_tokens;
   counts_.kept_tokens += call.selection.tokens_in - std::min(call.selection.tokens_in, call.uncached_tokens);
-  if (row.status == "cold")
+  if (row.state == RunnerState::warming_up)
     ++counts_.warmup_sends;
   if (row.region != settings_.region)
     ++counts_.far_sends;
--- a/packages/control-plane/include/emberdale/control_daemon.hpp
+++ b/packages/control-plane/include/emberdale/control_daemon.hpp
@@ -31,7 +31,7 @@
 namespace emberdale {
 
 struct ControlDaemonSettings {
-  DaemonEntry self;  // role "core" or "edge"
+  DaemonEntry self;  // role DaemonRole::core or DaemonRole::edge
   std::vector<Address> seeds;
   std::uint64_t random_seed = 1;
   ElectionTimes election;
@@ -151,7 +151,7 @@
     std::int64_t begun_read = 0;  // the register read that was the first to begin after this one came; 0: none yet
   };
 
-  bool is_edge() const { return settings_.self.role == "edge"; }
+  bool is_edge() const { return settings_.self.role == DaemonRole::edge; }
   void refresh_state(TimePoint now);
   void keep_roster(TimePoint now);
   void reconcile_membership(TimePoint now);
@@ -219,7 +219,7 @@
   }
   // The outside list takes few calls a second from all daemons together: a master that may have been deposed is silent.
   bool may_read_list(TimePoint now) const {
-    return election_.is_master() && now - election_.quorum_confirmed(now) <= list_quorum_age;
+    return election_.is_master() && now - election_.quorum_confirmed_at(now) <= list_quorum_age;
   }
   std::vector<GatewayRow> ready_fronts(TimePoint now) const;
   std::map<Address, GatewayRow> fronts_of_map(const std::vector<DaemonStatus>& subscribers, TimePoint now) const;
--- a/packages/control-plane/src/control_maps.cpp
+++ b/packages/control-plane/src/control_maps.cpp
@@ -25,7 +25,7 @@
     return names;
   }
   for (const auto& [address, known] : known_)
-    if (known.entry.role == "edge" && known.entry.zone == zone && now - known.heard <= alive_timeout)
+    if (known.entry.role == DaemonRole::edge && known.entry.zone == zone && now - known.heard <= alive_timeout)
       names.push_back(address.text);
   return names;
 }
@@ -105,7 +105,7 @@
       });
   fresh.routing_table_revision = routing_table_rows_.empty() ? 0 : routing_table_revision_;
   for (const auto& row : fresh.runners)
-    if (row.status == "warm")
+    if (row.state == RunnerState::warm)
       warmup_shares_.forget(row.name);
   if (!must_cover) {
     MapChange change = compare_maps(map_, fresh);
@@ -163,16 +163,16 @@
 void ControlDaemon::send_heartbeat(TimePoint now) {
   if (election_.phase() != MasterElection::Phase::following)
     return;
-  heartbeat_next_ = now + settings_.election.follow;
+  heartbeat_next_ = now + settings_.election.heartbeat_interval;
   Heartbeat heartbeat;
   heartbeat.sender = settings_.self;
   heartbeat.term = election_.term();
-  heartbeat.acknowledged_timestamp = election_.acknowledgement(now);
+  heartbeat.acknowledged_timestamp = election_.acknowledged_timestamp(now);
   heartbeat.version = map_.version;
   heartbeat.routing_table_revision = map_.routing_table_revision;
   heartbeat.runner_statuses = runner_health_monitor_.reports(now);
-  heartbeat.daemon_statuses = slices_.in_force(now);
-  heartbeat.master_timestamp = election_.master_stamp();
+  heartbeat.daemon_statuses = slices_.subscriber_statuses(now);
+  heartbeat.master_timestamp = election_.master_timestamp();
   heartbeat.sent_at = now.value;
   out_.push_back({election_.master(), std::move(heartbeat)});
 }
@@ -218,7 +218,7 @@
     entry.pool = row.pool;
     entry.zone = row.zone;
     entry.region = row.region;
-    entry.is_leaving = row.status == "leaving";
+    entry.is_leaving = row.state == RunnerState::draining;
     placed.runners.push_back(std::move(entry));
   }
   return placed;
--- a/packages/control-plane/src/control_membership.cpp
+++ b/packages/control-plane/src/control_membership.cpp
@@ -29,7 +29,7 @@
     if (is_edge()) {
       election_.set_roster(state.roster, state.term, state.master, now);
       for (const auto& entry : state.roster)
-        if (entry.address != settings_.self.address && known_[entry.address].entry.role.empty())
+        if (entry.address != settings_.self.address && known_[entry.address].entry.role == DaemonRole::unspecified)
           known_[entry.address].entry = entry;
     }
     replica_set_manager_.on_state();
@@ -40,7 +40,7 @@
 void ControlDaemon::keep_roster(TimePoint now) {
   std::vector<DaemonEntry> heard;
   for (const auto& [address, known] : known_)
-    if (known.entry.role == "edge" && now - known.heard <= alive_timeout)
+    if (known.entry.role == DaemonRole::edge && now - known.heard <= alive_timeout)
       heard.push_back(known.entry);
   if (!is_led_by_others(now))
     membership_registry_.enrol(heard, now);
@@ -79,7 +79,7 @@
   for (const auto& [address, known] : known_) {
     bool is_near =
         now - known.heard <= Duration{3000} || (proposer_.has_state() && has_daemon(proposer_.state().roster, address));
-    if (is_near && !known.entry.role.empty() && known.entry.role != "data")
+    if (is_near && known.entry.role != DaemonRole::unspecified && known.entry.role != DaemonRole::data)
       daemons.push_back(known.entry);
   }
   daemons.push_back(settings_.self);  // a master outside the set minds its own store as any other learner's
@@ -129,7 +129,7 @@
       [this, now](const ChangeEnd& end) {
         is_claiming_ = false;
         bool is_won = end.kind == ChangeEnd::Kind::committed;
-        election_.claim_ended(is_won, is_won ? end.state.term : 0, now);
+        election_.on_claim_result(is_won, is_won ? end.state.term : 0, now);
       },
       now, Duration{2500});
 }
@@ -138,7 +138,7 @@
   lease_.begin(now);
   edits_.begin();
   note(now, "master", "term " + std::to_string(election_.term()));
-  warmup_shares_.begin(map_, election_.term() > 1, now);
+  warmup_shares_.begin_term(map_, election_.term() > 1, now);
   in_force_.clear();
   follower_versions_.clear();
   follower_routing_tables_.clear();
@@ -151,7 +151,7 @@
 void ControlDaemon::on_refused(const Address& peer, TimePoint now) {
   reconciler_.on_refused(peer);
   if (is_edge())
-    election_.refused(peer, now);
+    election_.on_connection_refused(peer, now);
   auto known = known_.find(peer);
   if (known != known_.end())
     known->second.heard = TimePoint{now.value - alive_timeout.value - 1};
--- a/packages/data-plane/src/call_relay.cpp
+++ b/packages/data-plane/src/call_relay.cpp
@@ -38,14 +38,14 @@
     dispatch_thread_.join();
 }
 
-Outcome<bool> CallRelay::open() {
+absl::Status CallRelay::open() {
   try {
     listener_.open().wait();
   } catch (const std::exception& fault) {
-    return failure(std::string("can't listen for HTTP: ") + fault.what());
+    return absl::UnavailableError(std::string("can't listen for HTTP: ") + fault.what());
   }
   dispatch_thread_ = std::thread([this] { run_dispatcher(); });
-  return true;
+  return absl::OkStatus();
 }
 
 void CallRelay::stop(Duration timeout) {
--- a/packages/data-plane/src/call_relay.hpp
+++ b/packages/data-plane/src/call_relay.hpp
@@ -1,6 +1,7 @@
 // The I/O of calls: accepting them, sending them to runners, relaying what comes back.
 #pragma once
 #include <absl/base/thread_annotations.h>
+#include <absl/status/status.h>
 #include <cpprest/http_client.h>
 #include <cpprest/http_listener.h>
 #include <cpprest/producerconsumerstream.h>
@@ -43,8 +44,8 @@
  public:
   CallRelay(DispatcherSettings settings, const ControlSnapshot& snapshot, const std::string& http_address);
   ~CallRelay();
-  // Listens for clients; a failure says why the address can't be used.
-  Outcome<bool> open();
+  // Listens for clients; Unavailable if the address can't be used.
+  absl::Status open();
   // Finishes what is open, or refuses it with certainty, within the timeout.
   void stop(Duration timeout);
   // Takes requests for the daemon itself, below /emberdale.
--- a/packages/data-plane/src/data_daemon.cpp
+++ b/packages/data-plane/src/data_daemon.cpp
@@ -52,7 +52,7 @@
   record_contact(from, response.sender, response.version, now);
   bool is_new = false;
   for (const auto& entry : response.known_daemons)
-    if (known_daemons_[entry.address].entry.role.empty()) {
+    if (known_daemons_[entry.address].entry.role == DaemonRole::unspecified) {
       known_daemons_[entry.address].entry = entry;
       is_new = true;
     }
@@ -62,7 +62,7 @@
   // Until there is a map no interval is waited for: who responds is subscribed to, who is named is pinged.
   if (is_new)
     ping_control_daemons_in_zone();
-  if (response.sender.role == "edge")
+  if (response.sender.role == DaemonRole::edge)
     subscribe_next_ = now;
 }
 
@@ -126,7 +126,7 @@
 
 // Any control daemon's word counts: a shard owner that is cut off from the master can't know that it is.
 void DataDaemon::observe_named_version(const DaemonEntry& sender, const MapVersion& version, TimePoint now) {
-  if (sender.role == "edge" && !named_version_ && slice_cache_.oldest_version() < version)
+  if (sender.role == DaemonRole::edge && !named_version_ && slice_cache_.oldest_version() < version)
     named_version_ = NamedVersion{version, now};
 }
 
@@ -148,7 +148,7 @@
 std::vector<std::string> DataDaemon::responding_control_daemons(bool is_zone_required, TimePoint now) const {
   std::vector<std::string> responding;
   for (const auto& [address, known] : known_daemons_) {
-    if (known.entry.role != "edge" || now - known.last_heard_at > alive_timeout || is_ejected(address, now))
+    if (known.entry.role != DaemonRole::edge || now - known.last_heard_at > alive_timeout || is_ejected(address, now))
       continue;
     if (!is_zone_required || known.entry.zone == self_.zone)
       responding.push_back(address.text);
@@ -179,7 +179,7 @@
 
 void DataDaemon::ping_control_daemons_in_zone() {
   for (const auto& [address, known] : known_daemons_)
-    if (known.entry.role == "edge" && known.entry.zone == self_.zone)
+    if (known.entry.role == DaemonRole::edge && known.entry.zone == self_.zone)
       ping(address);
 }
 
@@ -189,7 +189,7 @@
   ping_next_ = now + (has_map ? ping_interval : discovery_interval);
   std::vector<Address> others;
   for (const auto& [address, known] : known_daemons_) {
-    bool is_needed = !has_map && known.entry.role == "edge" && known.entry.zone == self_.zone;
+    bool is_needed = !has_map && known.entry.role == DaemonRole::edge && known.entry.zone == self_.zone;
     bool is_seed = std::find(seeds_.begin(), seeds_.end(), address) != seeds_.end();
     if (is_needed || (is_seed && now - known.last_heard_at > alive_timeout))
       ping(address);
@@ -312,7 +312,7 @@
       bool is_runner_blocked = active.block.runner == name;
       bool is_zone_blocked = !active.block.zone.empty() && active.block.zone == row.zone;
       if (is_runner_blocked || is_zone_blocked)
-        row.status = is_runner_blocked ? "leaving" : "emptied";
+        row.state = is_runner_blocked ? RunnerState::draining : RunnerState::evacuated;
     }
   view_ = restricted;
 }
--- a/packages/data-plane/src/data_process.cpp
+++ b/packages/data-plane/src/data_process.cpp
@@ -24,7 +24,7 @@
   };
 }
 
-Outcome<bool> DataProcess::open() { return connections_->listen(); }
+absl::Status DataProcess::open() { return connections_->listen(); }
 
 void DataProcess::start() {
   control_thread_ = std::thread([this] {
--- a/packages/data-plane/src/data_process.hpp
+++ b/packages/data-plane/src/data_process.hpp
@@ -1,5 +1,7 @@
 // What every program around a data daemon needs: its control thread and its connections to peers.
 #pragma once
+#include <absl/status/status.h>
+
 #include <boost/asio.hpp>
 #include <functional>
 #include <memory>
@@ -17,8 +19,8 @@
 class DataProcess {
  public:
   DataProcess(DaemonEntry self, std::vector<Address> seeds, Duration timer_interval);
-  // Listens for peers; a failure says why the address can't be used.
-  Outcome<bool> open();
+  // Listens for peers; an error says why the address can't be used.
+  absl::Status open();
   void start();
   void stop();
   // Runs an action with the daemon on the control thread.
--- a/packages/data-plane/src/main.cpp
+++ b/packages/data-plane/src/main.cpp
@@ -3,6 +3,7 @@
 #include <glog/logging.h>
 #include <pplx/threadpool.h>
 
+#include <iomanip>
 #include <iostream>
 
 #include "call_relay.hpp"
@@ -42,22 +43,22 @@
   return dispatcher;
 }
 
-int fail(const std::string& reason) {
-  LOG(ERROR) << reason;
+int fail(const absl::Status& status) {
+  LOG(ERROR) << "start_failed reason=" << std::quoted(std::string(status.message()));
   return exit_failure;
 }
 
 int run(const ProgramSettings& settings) {
   DataProcess process(settings.self, settings.seeds, timer_interval);
-  if (auto listening = process.open(); !listening)
-    return fail(listening.reason);
+  if (auto listening = process.open(); !listening.ok())
+    return fail(listening);
   CallRelay relay(dispatcher_settings(settings), process.snapshot(), settings.self.http_address);
   OwnPaths own_paths(process, relay, settings.may_fault_connections);
   relay.on_own_path = [&own_paths](web::http::http_request request) {
     own_paths.handle(std::move(request));
   };
-  if (auto listening = relay.open(); !listening)
-    return fail(listening.reason);
+  if (auto listening = relay.open(); !listening.ok())
+    return fail(listening);
   process.start();
   LOG(INFO) << "serving zone=" << settings.self.zone << " region=" << settings.self.region
             << " http=" << settings.self.http_address;
@@ -74,7 +75,7 @@
 int main(int argc, char** argv) {
   auto arguments = docopt::docopt(emberdale::usage, {argv + 1, argv + argc}, true, "emberdale-data-plane 0.1");
   std::vector<std::string> findings;
-  emberdale::ProgramSettings settings = emberdale::read_settings(arguments, "data", findings);
+  emberdale::ProgramSettings settings = emberdale::read_settings(arguments, emberdale::DaemonRole::data, findings);
   for (const auto& finding : findings)
     std::cerr << "emberdale-data-plane: " << finding << "\n";
   if (!findings.empty())
--- a/packages/data-plane/src/routed_relay.cpp
+++ b/packages/data-plane/src/routed_relay.cpp
@@ -31,15 +31,15 @@
   close_listener();
 }
 
-Outcome<bool> RoutedRelay::open() {
+absl::Status RoutedRelay::open() {
   try {
     listener_.open().wait();
   } catch (const std::exception& fault) {
-    return failure(std::string("can't listen for HTTP: ") + fault.what());
+    return absl::UnavailableError(std::string("can't listen for HTTP: ") + fault.what());
   }
   is_open_ = is_listening_ = true;
   dispatch_thread_ = std::thread([this] { run_dispatcher(); });
-  return true;
+  return absl::OkStatus();
 }
 
 void RoutedRelay::notify_snapshot_changed() {
--- a/packages/data-plane/src/routed_relay.hpp
+++ b/packages/data-plane/src/routed_relay.hpp
@@ -1,6 +1,7 @@
 // The I/O of routed calls: accepting them, sending them to runners, relaying what comes back.
 #pragma once
 #include <absl/base/thread_annotations.h>
+#include <absl/status/status.h>
 #include <cpprest/http_client.h>
 #include <cpprest/http_listener.h>
 #include <cpprest/producerconsumerstream.h>
@@ -59,8 +60,8 @@
   RoutedRelay(RouteDispatcherSettings settings, RelayHeaderNames header_names, const ControlSnapshot& snapshot,
               const std::string& http_address);
   ~RoutedRelay();
-  // Listens for clients; a failure says why the address can't be used.
-  Outcome<bool> open();
+  // Listens for clients; Unavailable if the address can't be used.
+  absl::Status open();
   // The snapshot has a new value: the dispatch thread takes it at once.
   void notify_snapshot_changed();
   // From here on responses ask clients to leave this connection; calls are still admitted.
--- a/packages/data-plane/tests/call_relay_test.cpp
+++ b/packages/data-plane/tests/call_relay_test.cpp
@@ -50,7 +50,7 @@
       row.http_address = runner_place;
       row.pool.text = "p";
       row.region.text = "here";
-      row.status = "warm";
+      row.state = RunnerState::warm;
       row.capacity = capacity;
       row.incarnation = 7;
       row.seal_key = "key";
@@ -66,7 +66,7 @@
     settings.queue_bound = 2;
     relay_ = std::make_unique<CallRelay>(settings, snapshot_, place_);
     auto opened = relay_->open();
-    EXPECT_TRUE(opened) << opened.reason;
+    EXPECT_TRUE(opened.ok()) << opened;
   }
   ~Bench() { relay_->stop(Duration{3000}); }
 
--- a/packages/data-plane/tests/routed_relay_test.cpp
+++ b/packages/data-plane/tests/routed_relay_test.cpp
@@ -254,7 +254,7 @@
       row.pool.text = "p";
       row.region.text = "here";
       row.zone.text = "z";
-      row.status = "warm";
+      row.state = RunnerState::warm;
       row.capacity = 8;
       view->runners[row.name] = row;
       view->pools[row.pool].push_back(row.name);
@@ -267,7 +267,7 @@
     settings.resend_start = settings.resend_bound = 100;
     relay_ = std::make_unique<RoutedRelay>(settings, test_words(), snapshot_, place_);
     auto opened = relay_->open();
-    EXPECT_TRUE(opened) << opened.reason;
+    EXPECT_TRUE(opened.ok()) << opened;
   }
   ~Bench() { relay_->stop(Duration{3000}); }
 
