--- a/packages/data-plane/tests/support/relay_under_test.cpp
+++ b/packages/data-plane/tests/support/relay_under_test.cpp
@@ -82,8 +82,8 @@
   snapshot_.put(view_of(runner_port), Grant{});
   relay_ =
       std::make_unique<RoutedRelay>(fuzz_settings(), fuzz_words(), snapshot_, "127.0.0.1:" + std::to_string(port_));
-  if (auto opened = relay_->open(); !opened)
-    throw std::runtime_error(opened.reason);
+  if (auto opened = relay_->open(); !opened.ok())
+    throw std::runtime_error(std::string(opened.message()));
 }
 
 RelayUnderTest::~RelayUnderTest() { relay_->stop(Duration{3000}); }
--- a/packages/fleet-simulator/include/emberdale/fleet_simulation.hpp
+++ b/packages/fleet-simulator/include/emberdale/fleet_simulation.hpp
@@ -200,7 +200,7 @@
   enum class CallOutcome { served, refused, refused_no_grant, unknown, no_daemon, misdirected };
   // One attempt of a call: a data daemon sends it to a runner.
   struct Attempt {
-    SendAct send;
+    CallAttempt send;
     std::string daemon;
     std::int64_t daemon_incarnation = 0;
     std::int64_t travel_ms = 0;  // each way
@@ -231,17 +231,17 @@
   // Callers and calls.
   void start_call();
   void flush_dispatcher(Node& node);
-  void run_send(const std::string& daemon, const SendAct& act);
+  void run_send(const std::string& daemon, const CallAttempt& act);
   void arrive_at_runner(const Attempt& attempt, bool is_cut);
   void run_at_runner(const Attempt& attempt, const SimulatedRunner& runner, bool is_warming_up);
   void complete_at_runner(const Attempt& attempt, std::int64_t work_generation);
   void lose_attempt(const Attempt& attempt);
-  SendEnd report_of(const Attempt& attempt, const SimulatedRunner& runner, SendEndKind kind,
+  AttemptResult report_of(const Attempt& attempt, const SimulatedRunner& runner, AttemptOutcome kind,
                     const std::string& reason) const;
-  void end_attempt(const Attempt& attempt, const SendEnd& end);
+  void end_attempt(const Attempt& attempt, const AttemptResult& end);
   void count(CallOutcome outcome);
   void end_call(CallIndex index, CallOutcome outcome, const std::string& reason = "");
-  void end_finally(const FinalAct& act);
+  void end_finally(const FinalResponse& act);
   bool has_room(const PendingCall& call) const;
   void end_read(const std::string& where, std::int64_t begun, const FleetState& state);
   void end_edit(const std::shared_ptr<EditOutcome>& outcome, const EditResponse& response);
--- a/packages/fleet-simulator/src/simulated_calls.cpp
+++ b/packages/fleet-simulator/src/simulated_calls.cpp
@@ -112,7 +112,7 @@
     checker_.on_call_refused(now_, index, call.request.is_repeatable);
 }
 
-void FleetSimulation::end_finally(const FinalAct& act) {
+void FleetSimulation::end_finally(const FinalResponse& act) {
   trace(TraceEvent::call_refused, act.call, act.code, act.may_have_run, act.retry_after.value);
   bool wants_grant = act.reason.find("proven current") != std::string::npos;
   bool is_misdirected = act.code == 421;
@@ -124,13 +124,13 @@
 }
 
 void FleetSimulation::flush_dispatcher(Node& target) {
-  for (const auto& act : target.dispatcher->take_sends())
+  for (const auto& act : target.dispatcher->drain_attempts())
     run_send(target.name, act);
-  for (const auto& act : target.dispatcher->take_finals())
+  for (const auto& act : target.dispatcher->drain_final_responses())
     end_finally(act);
 }
 
-void FleetSimulation::run_send(const std::string& daemon, const SendAct& act) {
+void FleetSimulation::run_send(const std::string& daemon, const CallAttempt& act) {
   Node& sender = node(daemon);
   SimulatedRunner& runner = runners_.at(act.runner.text);
   PendingCall& call = calls_.at(act.call);
@@ -148,7 +148,7 @@
   if (is_cut || (runner.is_up && runner.is_hung))
     return lose_attempt(attempt);
   if (!runner.is_up)
-    return end_attempt(attempt, report_of(attempt, runner, SendEndKind::unsent, "no link"));
+    return end_attempt(attempt, report_of(attempt, runner, AttemptOutcome::not_sent, "no link"));
   bool is_warming_up = runner.is_warming_up(now_);
   std::string refusal = runner.start_call(now_, attempt.send.incarnation, !is_incarnation_check_off);
   // What a runner refuses as too much while it warms up was an overload, whether or not it could refuse it.
@@ -157,7 +157,7 @@
                                          runner.allowance);
   if (!refusal.empty()) {
     ++figures_.refused_by_runner;
-    return end_attempt(attempt, report_of(attempt, runner, SendEndKind::refused, refusal));
+    return end_attempt(attempt, report_of(attempt, runner, AttemptOutcome::refused, refusal));
   }
   run_at_runner(attempt, runner, is_warming_up);
 }
@@ -171,7 +171,7 @@
        [this, daemon = attempt.daemon, call = attempt.send.call, incarnation = node(attempt.daemon).incarnation] {
          on_node(daemon, [incarnation, call](Node& awake) {
            if (awake.incarnation == incarnation)
-             awake.dispatcher->first_piece(call);
+             awake.dispatcher->on_stream_event(call);
          });
        });
   at(now_ + service_ms,
@@ -182,7 +182,7 @@
   SimulatedRunner& runner = runners_.at(attempt.send.runner.text);
   if (runner.work_generation != work_generation) {
     later(attempt.travel_ms, [this, attempt] {
-      end_attempt(attempt, report_of(attempt, runners_.at(attempt.send.runner.text), SendEndKind::lost, "link broke"));
+      end_attempt(attempt, report_of(attempt, runners_.at(attempt.send.runner.text), AttemptOutcome::lost, "link broke"));
     });
     return;
   }
@@ -190,25 +190,25 @@
     return lose_attempt(attempt);
   runner.finish();
   bool is_late = now_ + attempt.travel_ms > attempt.deadline;
-  SendEnd end =
-      report_of(attempt, runner, is_late ? SendEndKind::lost : SendEndKind::answered, is_late ? deadline_reason : "");
+  AttemptResult end =
+      report_of(attempt, runner, is_late ? AttemptOutcome::lost : AttemptOutcome::completed, is_late ? deadline_reason : "");
   later(attempt.travel_ms, [this, attempt, end] { end_attempt(attempt, end); });
 }
 
 // No response ever comes: the daemon gives up at the deadline.
 void FleetSimulation::lose_attempt(const Attempt& attempt) {
   at(std::max(now_, attempt.deadline), [this, attempt] {
-    end_attempt(attempt, report_of(attempt, runners_.at(attempt.send.runner.text), SendEndKind::lost, deadline_reason));
+    end_attempt(attempt, report_of(attempt, runners_.at(attempt.send.runner.text), AttemptOutcome::lost, deadline_reason));
   });
 }
 
-SendEnd FleetSimulation::report_of(const Attempt& attempt, const SimulatedRunner& runner, SendEndKind kind,
+AttemptResult FleetSimulation::report_of(const Attempt& attempt, const SimulatedRunner& runner, AttemptOutcome kind,
                                    const std::string& reason) const {
-  SendEnd end;
+  AttemptResult end;
   end.call = attempt.send.call;
-  end.kind = kind;
+  end.outcome = kind;
   end.reason = reason;
-  end.has_report = kind == SendEndKind::answered || kind == SendEndKind::refused;
+  end.has_report = kind == AttemptOutcome::completed || kind == AttemptOutcome::refused;
   end.incarnation = runner.incarnation;
   end.load = runner.running;
   end.capacity = runner.capacity;
@@ -216,13 +216,13 @@
   return end;
 }
 
-void FleetSimulation::end_attempt(const Attempt& attempt, const SendEnd& end) {
+void FleetSimulation::end_attempt(const Attempt& attempt, const AttemptResult& end) {
   on_node(attempt.daemon, [this, attempt, end](Node& awake) {
     if (awake.incarnation != attempt.daemon_incarnation)
       return;
-    if (end.kind == SendEndKind::answered)
+    if (end.outcome == AttemptOutcome::completed)
       end_call(attempt.send.call, CallOutcome::served);
-    if (end.kind == SendEndKind::lost && is_lost_call_resent)
+    if (end.outcome == AttemptOutcome::lost && is_lost_call_resent)
       run_send(attempt.daemon, attempt.send);
     refresh_dispatcher(awake);
     awake.dispatcher->on_attempt_finished(end, clock(awake));
