--- a/packages/control-plane/include/emberdale/cluster_bootstrapper.hpp
+++ b/packages/control-plane/include/emberdale/cluster_bootstrapper.hpp
@@ -1,5 +1,5 @@
-// Founds a fleet without an operator: on the very first start, the smallest of the seeds does it once all of
-// them have answered that they are blank. docs/design.md, "One process a machine", says why it can't come
+// Creates the register without an operator: on the very first start the seed with the smallest address does it, once
+// all seeds have answered that they are blank. docs/design.md, "One process a machine", shows why that can't happen
 // twice. Without I/O, clock or threads.
 #pragma once
 #include <map>
@@ -12,46 +12,53 @@
 
 namespace emberdale {
 
-// Example:
-//   ClusterBootstrapper founder(proposer, journal, self, seeds, Dice(1)); founder.start(now);
-//   founder.on_message(from, message, now); founder.on_timer(now); for (auto& s : founder.drain_outbound()) send(s);
 class ClusterBootstrapper {
  public:
   ClusterBootstrapper(RegisterProposer& proposer, EventJournal& journal, Address self, std::vector<Address> seeds,
                       RandomGenerator random);
 
-  // Begins if this daemon is the smallest of the seeds; else it does nothing, ever. Example: founder.start(now)
+  // Begins if this daemon is the seed with the smallest address; any other does nothing, ever.
   void start(TimePoint now);
   void on_message(const Address& from, const Message& message, TimePoint now);
   void on_timer(TimePoint now);
   std::vector<OutboundMessage> drain_outbound() { return std::exchange(out_, {}); }
-  // True once, when a majority holds the founding. Example: if (founder.drain_bootstrapped()) poll();
+  // True once, when a majority holds the first state.
   bool drain_bootstrapped() { return std::exchange(was_bootstrapped_, false); }
-  // Still asking, or carrying the founding to the last seed. Example: founder.is_at_work()
+  // Still waits for the seeds, or carries the first state to the last of them.
   bool is_at_work() const { return phase_ == Phase::asking || phase_ == Phase::founding; }
 
  private:
-  enum class Phase { idle, asking, founding, over };
+  enum class Phase {
+    idle,      // not started, or not the seed that does it
+    asking,    // the seeds are asked whether they are blank
+    founding,  // the first state is sent to the stores of the seeds
+    over       // the register exists, by this daemon's hand or not
+  };
+  // The last answer of a blank seed.
   struct Blank {
-    StoreId store;
+    StoreId store;  // empty: it keeps no store
     TimePoint heard;
   };
-  void on_read(const Address& from, const ReadResponse& response, TimePoint now);
-  void on_bootstrapped(const BootstrapResponse& response, TimePoint now);
+  void on(const Address& from, const ReadResponse& response, TimePoint now);
+  void on(const Address& from, const BootstrapResponse& response, TimePoint now);
+  template <class Other>
+  void on(const Address&, const Other&, TimePoint) {}
+  bool may_begin(TimePoint now) const;
   void begin_bootstrap(TimePoint now);
-  void send_bootstrap_request();
+  void send_read_requests();
+  void send_bootstrap_requests();
 
   RegisterProposer& proposer_;
   EventJournal& journal_;
   Address self_;
   std::set<Address> seeds_;
   RandomGenerator random_;
-  std::int64_t ask_;
+  std::int64_t request_id_;
   Phase phase_ = Phase::idle;
   std::map<Address, Blank> blanks_;
-  std::vector<AcceptorEntry> acceptors_;  // as founded
-  std::set<StoreId> granted_, answered_;
-  Bytes value_;
+  std::vector<AcceptorEntry> acceptors_;  // of the first state
+  std::set<StoreId> granted_, answered_;  // stores that have accepted it, and that have answered at all
+  Bytes value_;                           // the first state, encoded
   bool was_bootstrapped_ = false;
   TimePoint started_, request_next_;
   std::vector<OutboundMessage> out_;
--- a/packages/control-plane/include/emberdale/edit_batch.hpp
+++ b/packages/control-plane/include/emberdale/edit_batch.hpp
@@ -1,5 +1,5 @@
-// Edits that are worked out together, each on the state that the one before it left, for one write of the register.
-// Without I/O, clock or threads.
+// Configuration changes that are applied together, each on the state that the one before it left, by one write of the
+// register. Without I/O, clock or threads.
 #pragma once
 #include <vector>
 
@@ -8,22 +8,20 @@
 
 namespace emberdale {
 
-// As "put", but what has that body already keeps its version and needs no write: for those who send an order again
-// because they got no answer in time. On a slow disk a write takes longer than they wait.
+// As "put", but a resource that has that body already keeps its version and needs no write: for clients that send a
+// change again because they got no response in time. On a slow disk a write takes longer than they wait.
 inline constexpr const char* ensure_act = "ensure";
 
 struct WorkedOutEdit {
   EditRequest request;
-  EditResult result;  // its own verdict; without the resources, which are in the state
+  EditResult result;  // of this change alone; without the resources, which are in the state
 };
 
-// Example:
-//   EditBatch batch{{{first, {}}, {second, {}}}}; FleetState changed = state;
-//   if (batch.work_out(changed, true)) write(changed);      // else each was refused, or was there already
 struct EditBatch {
-  std::vector<WorkedOutEdit> edits;
-  // Works all out anew on that state, and changes it. True if it differs from what was found: it is to be written, and
-  // the verdicts hold once it is chosen. A leader that is none any more applies nothing.
+  std::vector<WorkedOutEdit> edits;  // in order of arrival
+  // Applies all changes to that state, and sets the result of each; may be called again for another state. True if the
+  // state has changed: it is to be written, and the results hold once it is chosen. Else each change was refused or
+  // done before. A daemon that is master no more (`is_leader` false) applies nothing.
   bool work_out(FleetState& state, bool is_leader);
 };
 
--- /dev/null
+++ b/packages/control-plane/include/emberdale/gateway_directory.hpp
@@ -0,0 +1,43 @@
+// Names the data daemons that clients are sent to: those that are ready, near the client first.
+// Without I/O, clock or threads.
+#pragma once
+#include <map>
+#include <set>
+#include <string>
+#include <vector>
+
+#include "emberdale/messages.hpp"
+#include "emberdale/peer_table.hpp"
+#include "emberdale/small_types.hpp"
+
+namespace emberdale {
+
+// What a control daemon knows of data daemons at that moment.
+struct GatewayKnowledge {
+  const PlacementMap& map;
+  const PeerTable& peers;
+  std::vector<DaemonStatus> subscribers;  // the newest report of each data daemon that subscribes here
+  TimePoint master_heard;                 // when a quorum last followed the map's master
+};
+
+class GatewayDirectory {
+ public:
+  explicit GatewayDirectory(ZoneName zone) : zone_(std::move(zone)) {}
+
+  // The HTTP addresses of at most `limit` ready data daemons, in random order: those of the zone, with fewer than two
+  // those of the region as well, and else all. The map counts for data daemons that do not subscribe here, while it is
+  // fresh enough; when it isn't and nobody subscribes here, none are named.
+  std::vector<std::string> addresses(const GatewayKnowledge& knowledge, const RegionName& region, const ZoneName& zone,
+                                     std::size_t limit, RandomGenerator& random, TimePoint now) const;
+
+ private:
+  std::vector<GatewayRow> ready_gateways(const GatewayKnowledge& knowledge, TimePoint now) const;
+  std::map<Address, GatewayRow> gateways_of_map(const GatewayKnowledge& knowledge, TimePoint now) const;
+  // Zones whose own control daemons are silent: their data daemons subscribe elsewhere. If some do so here, all that
+  // are alive do, and what the map says of the others is old.
+  std::set<ZoneName> zones_subscribed_here(const GatewayKnowledge& knowledge, TimePoint now) const;
+
+  ZoneName zone_;  // of this control daemon
+};
+
+}  // namespace emberdale
--- a/packages/control-plane/include/emberdale/leader_lease.hpp
+++ b/packages/control-plane/include/emberdale/leader_lease.hpp
@@ -1,5 +1,6 @@
-// The leader lease that its maps are still current, and how long a new term must wait for an elder's word
-// to lapse. docs/design.md, "Freshness", says why this holds. Without I/O, clock or threads.
+// The leader lease: how long a master may vouch that its placement maps are current, and how long a new term must wait
+// for the leases of an earlier master to end. docs/design.md, "Freshness", shows why this is safe.
+// Without I/O, clock or threads.
 #pragma once
 #include <set>
 #include <vector>
@@ -10,34 +11,33 @@
 
 namespace emberdale {
 
-// Example:
-//   LeaderLease word(proposer, election, self); word.begin(now);     // a term begins
-//   if (word.may_grant_lease(now)) ...; word.keep(now); now - began < word.ack_wait()
 class LeaderLease {
  public:
   LeaderLease(RegisterProposer& proposer, const MasterElection& election, Address self)
       : proposer_(proposer), election_(election), self_(std::move(self)) {}
 
-  // What a claim makes of the state: the next term, how long it must wait, and whose acknowledges bind its own
-  // word. `is_at_once`: no grants hang on an elder's word, so no term waits.
-  // Example: LeaderLease::claimed(state, claim, self, false).term == state.term + 1
+  // The state after a claim: the next term, how long it must wait before it acknowledges, and whose acknowledgements
+  // its own leases need. `is_promise_off`: every join counts as a promise (a test). `is_at_once`: no data daemon
+  // depends on leases, so no term waits.
   static FleetState claimed(const FleetState& state, const TermClaim& claim, const Address& self, bool is_promise_off,
                             bool is_at_once = false);
 
+  // A term of this daemon begins.
   void begin(TimePoint now);
   TimePoint leading_since() const { return leading_since_; }
-  // How old this term must be before it acknowledges. Example: if (now - word.leading_since() < word.ack_wait()) ...
+  // How old this term must be before it acknowledges a change.
   Duration ack_wait() const {
     return Duration{is_wait_off || !proposer_.has_state() ? 0 : proposer_.state().acknowledgement_wait_ms};
   }
   bool is_waiting(TimePoint now) const { return now - leading_since_ < ack_wait(); }
-  // Whether this term was in force at a majority of the core not too long ago, and a majority of the word's
-  // roster, as the register has it and as it was last tried to be written, follows still.
+  // Whether a majority of the register has confirmed this term not too long ago, and a majority of the lease roster, as
+  // the register has it and as it was last tried to be written, follows still.
   bool may_grant_lease(TimePoint now) const;
-  // Keeps the word's roster at the fleet's, and ends a long wait that is over. Example: word.keep(now)
+  // Keeps the lease roster equal to the cluster's roster, and ends a long wait that is over. Called with each timer.
   void keep(TimePoint now);
 
-  // No edit waits: for deployments whose data daemons serve on without grants (and a guard that a test takes out).
+  // No change waits: for deployments whose data daemons serve on without leases (and a safeguard that a test takes
+  // out).
   bool is_wait_off = false;
 
  private:
@@ -48,9 +48,10 @@
   RegisterProposer& proposer_;
   const MasterElection& election_;
   Address self_;
-  TimePoint leading_since_{-100000}, keep_next_;
-  std::vector<Address> tried_roster_;  // the last that this master tried to write
-  bool is_writing_ = false;
+  TimePoint leading_since_{-100000};
+  TimePoint keep_next_;
+  std::vector<Address> tried_roster_;  // the last that this master tried to write, until it is known to be in force
+  bool is_writing_ = false;            // such a write is under way
 };
 
 }  // namespace emberdale
--- a/packages/control-plane/include/emberdale/runner_list.hpp
+++ b/packages/control-plane/include/emberdale/runner_list.hpp
@@ -1,5 +1,5 @@
-// Runners as an outside list tells of them: the last good list, who is cold, whose zone has just been taken
-// back. Kept by the master alone. Without I/O, clock or threads.
+// Runners as service discovery lists them: the last good list, which of them are warming up, and whose zone was
+// restored just now. Used by the master alone. Without I/O, clock or threads.
 #pragma once
 #include <map>
 #include <string>
@@ -12,56 +12,59 @@
 
 namespace emberdale {
 
-// One runner in one life: another start of it has another name.
+// One incarnation of a runner: another start of it has another name.
 struct ListedRunner {
   RunnerName name;
-  std::string http;
+  std::string http;  // IP:PORT
   PoolName pool;
   ZoneName zone;
   RegionName region;
-  std::int64_t slots = 0;
+  std::int64_t slots = 0;  // how many requests it runs at once; 0: not said
   bool is_leaving = false;
   Duration warmup_left{0};
 };
 
-// Example:
-//   RunnerList list; if (list.is_read_due(now)) read_from_outside();
-//   list.take(runners, begun, now);  list.entries();  list.fill(statuses, pools, now);
 class RunnerList {
  public:
-  static constexpr Duration read_pace{900};
-  // The list is this far behind at most: what it says of a zone taken back counts from then on.
-  static constexpr Duration lag_allowed{1500};
+  static constexpr Duration read_interval{900};
+  // The list is this far behind at most: what it says of a zone that was restored counts from then on.
+  static constexpr Duration longest_lag{1500};
 
-  // True when the list is to be read (again). Example: if (list.is_read_due(now)) wish_read();
+  // True when the list is to be read now. The read counts as begun.
   bool is_read_due(TimePoint now);
   // A whole list, whose reading began at `begun`. An empty one is believed only the third time in a row.
-  // Example: list.take(runners, begun, now)
   void take(std::vector<ListedRunner> runners, TimePoint begun, TimePoint now);
+  // The read has failed: the last list stands.
   void failed() { is_reading_ = false; }
+  // Whether a list was read in this term.
   bool is_known() const { return is_known_; }
-  // For the map, beside the runners that operators declare. Example: configuration.runners = list.entries();
+  // The listed runners, as the map is worked out from them.
   std::vector<RunnerEntry> entries() const;
-  // What the list adds to the homes' probes: who is cold, slots, what a cold one bears a second.
-  // Example: auto statuses = watch.statuses(); list.fill(statuses, pools, now);
+  // Adds what the list says to the results of probes: who is warming up, slots, and what a runner that is warming up
+  // bears a second.
   void fill(std::map<RunnerName, RunnerStatus>& statuses, const std::map<PoolName, RoutePool>& pools,
             TimePoint now) const;
-  // Work may go to the zone again: its runners count as cold until the list has caught up.
-  // Example: list.zone_taken_back({"a"}, now)
-  void zone_taken_back(const ZoneName& zone, TimePoint now) { taken_back_[zone] = now; }
-  // A term begins: nothing is known, and the list is read at once. Example: list.begin(now)
+  // Work may go to the zone again: its runners count as warming up until the list has caught up.
+  void zone_taken_back(const ZoneName& zone, TimePoint now) { restored_zones_[zone] = now; }
+  // A term begins: nothing is known, and the list is read at once.
   void begin(TimePoint now);
 
  private:
   struct Listed {
     ListedRunner runner;
-    TimePoint warming_up_until, listed;
+    TimePoint warming_up_until;
+    TimePoint listed;  // when it was listed first
   };
+  Listed listed(ListedRunner runner, TimePoint begun, TimePoint now) const;
+  RunnerStatus status_of(const Listed& listed, const RunnerStatus* probed, double warmup_requests_per_s,
+                         TimePoint now) const;
+
   std::map<RunnerName, Listed> runners_;
-  std::map<ZoneName, TimePoint> taken_back_;
-  TimePoint read_next_, read_until_;
+  std::map<ZoneName, TimePoint> restored_zones_;
+  TimePoint read_next_;
+  TimePoint read_until_;  // a read that has not ended by then is begun anew
   bool is_reading_ = false, is_known_ = false;
-  int empty_lists_ = 0;
+  int empty_lists_ = 0;  // in a row
 };
 
 }  // namespace emberdale
--- a/packages/control-plane/src/change_identity.cpp
+++ b/packages/control-plane/src/change_identity.cpp
@@ -9,14 +9,14 @@
 Bytes change_digest(const EditRequest& request) {
   std::string text = std::to_string(request.expected_version);
   for (const std::string& part : {request.action, request.kind, request.name, request.body})
-    text += "\n" + std::to_string(part.size()) + "\n" + part;  // with its size, so that no two orders give one text
+    text += "\n" + std::to_string(part.size()) + "\n" + part;  // with its size, so that no two changes give one text
   return Bytes{content_digest_bytes(text)};
 }
 
-IdempotencyRecord find_completed_change(const std::vector<CompletedChange>& done, const EditRequest& request) {
-  auto found = std::find_if(done.begin(), done.end(),
+IdempotencyRecord find_completed_change(const std::vector<CompletedChange>& completed, const EditRequest& request) {
+  auto found = std::find_if(completed.begin(), completed.end(),
                             [&](const CompletedChange& each) { return each.change_id == request.change_id; });
-  if (found == done.end())
+  if (found == completed.end())
     return {};
   bool is_same = found->digest.data.empty() || found->digest == change_digest(request);
   return {is_same ? IdempotencyStatus::done : IdempotencyStatus::conflicting_id, found->version};
--- a/packages/control-plane/src/control_daemon.cpp
+++ b/packages/control-plane/src/control_daemon.cpp
@@ -1,17 +1,16 @@
-// Life of a control daemon: start, stop, timers, and what goes out.
-#include <algorithm>
-
+// Control daemon: start, stop, timers, and what goes out.
 #include "emberdale/control_daemon.hpp"
 
 namespace emberdale {
 namespace {
 
-constexpr Duration gossip_pace{500};
-constexpr Duration hand_over_poll_pace{50};
-constexpr Duration gateway_memory{600000};
+constexpr Duration hand_over_poll_interval{50};
+constexpr Duration subscriber_retention{10000};
+constexpr Duration resignation_timeout{1000};
 
 }  // namespace
 
+// Each part has a random sequence of its own, so that a change of one does not move the others.
 ControlDaemon::ControlDaemon(ControlDaemonSettings settings, std::unique_ptr<RegisterAcceptor> acceptor)
     : settings_(std::move(settings)),
       random_(settings_.random_seed),
@@ -20,8 +19,8 @@
       proposer_(settings_.self.address, RandomGenerator(settings_.random_seed + 1)),
       election_(settings_.self, RandomGenerator(settings_.random_seed + 2), settings_.election),
       lease_(proposer_, election_, settings_.self.address),
-      edits_(proposer_, election_, lease_, journal_, settings_.self.address),
-      forwarder_(settings_.edit_times),
+      peers_(settings_.self.address),
+      gossip_(settings_.seeds),
       reconciler_(proposer_, settings_.self, settings_.membership, RandomGenerator(settings_.random_seed + 5)),
       bootstrapper_(proposer_, journal_, settings_.self.address, settings_.seeds,
                     RandomGenerator(settings_.random_seed + 6)),
@@ -29,7 +28,11 @@
                            RandomGenerator(settings_.random_seed + 3)),
       membership_registry_(proposer_, journal_, settings_.self, RandomGenerator(settings_.random_seed + 4),
                            settings_.dead_member_timeout),
-      runner_health_monitor_(settings_.self, settings_.probe_pace) {
+      runner_health_monitor_(settings_.self, settings_.probe_interval),
+      gateway_directory_(settings_.self.zone),
+      followers_(settings_.self.address),
+      edits_(proposer_, election_, lease_, journal_, settings_.self.address),
+      forwarder_(settings_.edit_times) {
   lease_.is_wait_off = settings_.acknowledges_at_once;
   if (settings_.reconciles_membership)
     replica_set_manager_.set_reconciler(reconciler_);
@@ -37,11 +40,12 @@
 
 void ControlDaemon::start(TimePoint now) {
   for (const auto& seed : settings_.seeds)
-    if (seed != settings_.self.address)
-      known_[seed].entry.address = seed;
+    peers_.add_seed(seed);
   if (acceptor_ && !acceptor_->is_blank())
     proposer_.learn_acceptors(acceptor_->state().acceptors);
-  poll_next_ = gossip_next_ = heartbeat_next_ = started_at_ = active_at_ = now;
+  poll_next_ = heartbeat_next_ = started_at_ = now;
+  gossip_.start(now);
+  resume_.start(now);
   pauses_.start(now);
   reconciler_.start(now);
   replica_set_manager_.start(now);
@@ -60,38 +64,38 @@
   if (is_stopping_)
     return;
   is_stopping_ = true;
-  note(now, "stopping", settings_.self.address.text);
+  record(now, "stopping", settings_.self.address.text);
   if (settings_.reconciles_membership && acceptor_) {
     reconciler_.begin_leaving(now);
     reconcile_membership(now);
     is_handing_over_ = is_replica() && reconciler_.is_handing_over(now);
-    hand_over_end_ = now + settings_.hand_over_patience;
+    hand_over_end_ = now + settings_.hand_over_timeout;
     replica_set_manager_.hurry();
   }
   if (is_handing_over_)
     replica_set_manager_.on_timer(now);
   else
-    take_leave(now);
-  collect(now);
+    leave_election(now);
+  collect_outbound(now);
 }
 
-// The place in the set is handed over first, and the term is laid down then: a master leads on meanwhile.
+// The place in the set is handed over first, and the term is laid down then: meanwhile a master goes on leading.
 void ControlDaemon::continue_stopping(TimePoint now) {
   if (!is_handing_over_)
     return;
   if (hand_over_end_ > now && reconciler_.is_handing_over(now)) {
-    if (!is_replica() && poll_next_ > now + hand_over_poll_pace)
-      poll_next_ = now + hand_over_poll_pace;  // whether the successor holds the value
+    if (!is_replica() && poll_next_ > now + hand_over_poll_interval)
+      poll_next_ = now + hand_over_poll_interval;  // whether the successor holds the value
     return;
   }
-  note(now, is_replica() ? "not handed over" : "handed over", settings_.self.address.text);
+  record(now, is_replica() ? "not handed over" : "handed over", settings_.self.address.text);
   is_handing_over_ = false;
-  take_leave(now);
+  leave_election(now);
 }
 
-void ControlDaemon::take_leave(TimePoint now) {
+// A master lays its term down in the register: then the next need not wait for the end of this one's leases.
+void ControlDaemon::leave_election(TimePoint now) {
   if (election_.is_master() && !lease_.is_waiting(now)) {
-    // Lays the term down in the register: the next master need not wait for this one's word to lapse.
     Address self = settings_.self.address;
     proposer_.change(
         [self](const FleetState& state) -> Verdict {
@@ -101,43 +105,36 @@
           next.master = Address{};
           return {Verdict::Kind::apply, next, ""};
         },
-        nullptr, now, Duration{1000});
+        nullptr, now, resignation_timeout);
   }
   if (is_edge())
     election_.leave();
 }
 
-void ControlDaemon::answer_all(TimePoint now) {
-  for (auto& [ended, answer] : forwarder_.end_all())
-    lift_block(ended.block, answer);
+void ControlDaemon::end_all_requests(TimePoint now) {
+  for (auto& [ended, response] : forwarder_.end_all())
+    lift_block(ended.block, response);
   edits_.end_all();
-  end_edits();
-  end_waiting([](const Waiting&) { return true; }, now);
-  collect(now);
-}
-
-std::vector<DaemonEntry> ControlDaemon::known() const {
-  std::vector<DaemonEntry> entries;
-  for (const auto& [address, known] : known_)
-    if (!known.entry.role.empty())
-      entries.push_back(known.entry);
-  return entries;
+  send_ended_edits();
+  pending_.end_all([&](std::int64_t request_id) { return local_view(request_id, false, now); });
+  collect_outbound(now);
 }
 
+// The order of these steps decides what is sent and in which order random numbers are drawn.
 void ControlDaemon::on_timer(TimePoint now) {
   pauses_.on_timer(now);
-  notice_pause(now);
+  detect_pause(now);
   proposer_.on_timer(now);
   if (is_edge())
     election_.on_timer(now);
   if (poll_next_ <= now)
     poll_register(now);
-  gossip(now);
+  send_gossip(now);
   if (acceptor_ && !acceptor_->is_blank() && proposer_.acceptors().empty())
     proposer_.learn_acceptors(acceptor_->state().acceptors);
   refresh_state(now);
   if (is_edge())
-    keep_roster(now);
+    update_roster(now);
   bootstrapper_.on_timer(now);
   if (settings_.reconciles_membership)
     reconcile_membership(now);
@@ -145,134 +142,76 @@
   continue_stopping(now);
   if (is_edge() && heartbeat_next_ <= now)
     send_heartbeat(now);
-  hear_master(now);
-  slices_.forget_silent(now, Duration{10000});
+  update_master_contact(now);
+  slices_.forget_silent(now, subscriber_retention);
   if (is_edge())
     runner_health_monitor_.schedule_probes(placed_configuration(), live_edges(settings_.self.zone, now),
                                            election_.is_master(), now);
   if (election_.is_master())
-    lead(now);
+    run_master_duties(now);
   settle_edits(now);
-  forward_blocks(now);
+  send_due_blocks(now);
   forward_edits(now);
-  for (auto& [ended, answer] : forwarder_.on_timer(now))
-    lift_block(ended.block, answer);
-  expire_waiting(now);
-  collect(now);
+  for (auto& [ended, response] : forwarder_.on_timer(now))
+    lift_block(ended.block, response);
+  pending_.expire([&](std::int64_t request_id) { return local_view(request_id, false, now); }, now);
+  collect_outbound(now);
 }
 
-// Tells some peers of this daemon: the seeds until a register is known, else two at random.
-void ControlDaemon::gossip(TimePoint now) {
-  if (now < gossip_next_)
-    return;
-  gossip_next_ = now + gossip_pace;
-  std::vector<Address> others;
-  std::set<Address> targets;
-  for (const auto& [address, known] : known_) {
-    if (now - known.heard > Duration{60000} && known.heard.value >= 0 &&
-        std::find(settings_.seeds.begin(), settings_.seeds.end(), address) == settings_.seeds.end())
-      continue;
-    bool is_seed = std::find(settings_.seeds.begin(), settings_.seeds.end(), address) != settings_.seeds.end();
-    if (is_seed && !proposer_.has_state())
-      targets.insert(address);
-    else
-      others.push_back(address);
-  }
-  for (int i = 0; i < 2 && !others.empty(); ++i)
-    targets.insert(others[static_cast<std::size_t>(random_.below(static_cast<std::int64_t>(others.size())))]);
-  // A data daemon that has started anew knows its seeds alone, and they may all have been replaced: who
-  // still knows its address speaks to it.
-  for (const auto& row : map_.gateways)
-    gateways_seen_[row.daemon] = now;
-  std::vector<Address> missed;
-  for (auto entry = gateways_seen_.begin(); entry != gateways_seen_.end();) {
-    if (now - entry->second > gateway_memory)
-      entry = gateways_seen_.erase(entry);
-    else if (entry->second < now)
-      missed.push_back((entry++)->first);
-    else
-      ++entry;
-  }
-  if (is_edge() && !missed.empty())
-    targets.insert(missed[static_cast<std::size_t>(random_.below(static_cast<std::int64_t>(missed.size())))]);
-  for (const auto& target : targets)
+void ControlDaemon::send_gossip(TimePoint now) {
+  for (const auto& target : gossip_.due_targets(peers_, map_, proposer_.has_state(), is_edge(), random_, now))
     out_.push_back({target, PingRequest{0, settings_.self, election_.master(), map_.version}});
 }
 
-// What the master does beside following none: collects what is in force, publishes, works edits out.
-void ControlDaemon::lead(TimePoint now) {
-  for (const auto& report : slices_.in_force(now))
-    take_report(report, now);
-  for (auto entry = in_force_.begin(); entry != in_force_.end();) {
-    if (now - entry->second.second > Duration{15000})
-      entry = in_force_.erase(entry);
-    else
-      ++entry;
-  }
+void ControlDaemon::run_master_duties(TimePoint now) {
+  for (const auto& status : slices_.in_force(now))
+    daemon_statuses_.record(status, now);
+  daemon_statuses_.expire(now);
   edits_.on_timer(now);
   publish(now, false);
-  keep_windows(now);
+  move_windows(now);
   if (!edits_.is_open())
     lease_.keep(now);
   run_edits(now);
 }
 
-// Views and reads whose time is over end without an answer from others.
-void ControlDaemon::expire_waiting(TimePoint now) {
-  end_waiting([now](const Waiting& waiting) { return waiting.deadline <= now; }, now);
-}
-
-void ControlDaemon::end_waiting(const std::function<bool(const Waiting&)>& is_over, TimePoint now) {
-  for (auto entry = waiting_.begin(); entry != waiting_.end();) {
-    if (!is_over(entry->second)) {
-      ++entry;
-      continue;
-    }
-    Waiting ended = std::move(entry->second);
-    std::int64_t ask = entry->first;
-    entry = waiting_.erase(entry);
-    if (ended.view)
-      ended.view(ViewResponse{ask, false, false, map_, in_force(now)});
-    if (ended.read)
-      ended.read(nullptr);
-  }
-}
-
-void ControlDaemon::collect(TimePoint now) {
+void ControlDaemon::collect_outbound(TimePoint now) {
   if (auto claim = election_.drain_claim())
     claim_term(*claim, now);
   bool is_master = election_.is_master();
   if (is_master != was_master_) {
     was_master_ = is_master;
-    if (is_master) {
-      refresh_state(now);
-      begin_leading(now);
-    } else {
-      note(now, "deposed", settings_.self.address.text);
-    }
+    on_mastership(is_master, now);
   }
-  auto take = [&](std::vector<OutboundMessage> messages) {
-    for (auto& message : messages) {
-      if (message.to.empty())
-        continue;
-      out_.push_back(std::move(message));
-    }
-  };
-  auto tell = [&](RefusedMessages& refusals) {
-    for (const auto& refused : refusals.drain_updates())
-      note(now, "refused_message", refused.from.text + " " + reason_name(refused.reason) + " " + refused.detail);
-  };
-  tell(proposer_.refusals());
+  record_refusals(proposer_.refusals(), now);
   if (acceptor_) {
-    tell(acceptor_->refusals());
-    take(acceptor_->drain_outbound());
+    record_refusals(acceptor_->refusals(), now);
+    send_all(acceptor_->drain_outbound());
   }
-  take(proposer_.drain_outbound());
-  take(election_.drain_outbound());
-  take(slices_.drain_outbound());
-  take(reconciler_.drain_outbound());
-  take(bootstrapper_.drain_outbound());
-  take(replica_set_manager_.drain_outbound());
+  send_all(proposer_.drain_outbound());
+  send_all(election_.drain_outbound());
+  send_all(slices_.drain_outbound());
+  send_all(reconciler_.drain_outbound());
+  send_all(bootstrapper_.drain_outbound());
+  send_all(replica_set_manager_.drain_outbound());
+}
+
+void ControlDaemon::on_mastership(bool is_master, TimePoint now) {
+  if (!is_master)
+    return record(now, "deposed", settings_.self.address.text);
+  refresh_state(now);
+  begin_term(now);
+}
+
+void ControlDaemon::record_refusals(RefusedMessages& refusals, TimePoint now) {
+  for (const auto& refused : refusals.drain_updates())
+    record(now, "refused_message", refused.from.text + " " + reason_name(refused.reason) + " " + refused.detail);
+}
+
+void ControlDaemon::send_all(std::vector<OutboundMessage> messages) {
+  for (auto& outbound : messages)
+    if (!outbound.to.empty())
+      out_.push_back(std::move(outbound));
 }
 
 std::vector<OutboundMessage> ControlDaemon::drain_outbound() { return std::exchange(out_, {}); }
--- a/packages/control-plane/src/control_maps.cpp
+++ b/packages/control-plane/src/control_maps.cpp
@@ -1,4 +1,4 @@
-// Placement maps at a control daemon: who is in them, when they are published, how they reach followers.
+// Control daemon: placement maps. What is in them, when they are published, and how they reach followers.
 #include <algorithm>
 
 #include "emberdale/control_daemon.hpp"
@@ -6,10 +6,16 @@
 namespace emberdale {
 namespace {
 
-constexpr Duration alive_timeout{2000};
-constexpr Duration load_pace{500}, placement_pace{40};
-constexpr Duration routing_table_resend_interval{
-    2000};  // rows of the traffic table that were sent and not confirmed are sent again
+constexpr Duration load_interval{500};      // between two maps that differ in loads alone
+constexpr Duration placement_interval{40};  // between two maps that differ in placement
+// For so long after its first map a new master, which may not have heard of all data daemons yet, names those that the
+// map before named.
+constexpr Duration inherited_gateways_timeout{2500};
+constexpr Duration gateway_timeout{3000};
+
+GatewayRow gateway_row(const DaemonEntry& entry) {
+  return {entry.address, entry.http_address, entry.zone, entry.region};
+}
 
 }  // namespace
 
@@ -17,39 +23,31 @@
   std::vector<std::string> names;
   if (is_edge() && settings_.self.zone == zone)
     names.push_back(settings_.self.address.text);
-  // Under a master the map says who lives; else whoever answered the last pings.
-  if (!election_.master().empty() && map_.version.term == election_.term()) {
+  // Under a master its map says who is alive; else whoever answered the last pings.
+  bool has_masters_map = !election_.master().empty() && map_.version.term == election_.term();
+  if (has_masters_map) {
     for (const auto& edge : map_.edges)
       if (edge.zone == zone && edge.daemon != settings_.self.address)
         names.push_back(edge.daemon.text);
     return names;
   }
-  for (const auto& [address, known] : known_)
-    if (known.entry.role == "edge" && known.entry.zone == zone && now - known.heard <= alive_timeout)
+  for (const auto& [address, peer] : peers_.all())
+    if (peer.is_edge() && peer.entry.zone == zone && peer.was_heard_within(peer_alive_timeout, now))
       names.push_back(address.text);
   return names;
 }
 
-std::vector<DaemonStatus> ControlDaemon::in_force(TimePoint now) const {
-  std::vector<DaemonStatus> reports;
-  for (const auto& [address, entry] : in_force_) {
-    reports.push_back(entry.first);
-    reports.back().age_ms = (now - entry.second).value;
-  }
-  return reports;
-}
-
-std::vector<GatewayRow> ControlDaemon::gateways(TimePoint now) const {
+std::vector<GatewayRow> ControlDaemon::live_gateways(TimePoint now) const {
   std::map<Address, GatewayRow> rows;
-  // A new master has heard of no one yet: for a moment the old map's word stands.
-  if (now - published_at_ < Duration{2500} || map_.version.term != election_.term())
+  if (now - published_at_ < inherited_gateways_timeout || map_.version.term != election_.term())
     for (const auto& row : map_.gateways)
       rows[row.daemon] = row;
-  for (const auto& [address, entry] : in_force_) {
-    const DaemonEntry& daemon = entry.first.daemon;
-    bool is_gone = entry.first.is_draining || (settings_.reads_runner_list && entry.first.version == MapVersion{});
-    if (now - entry.second <= Duration{3000} && !is_gone)
-      rows[address] = {address, daemon.http_address, daemon.zone, daemon.region};
+  for (const auto& [address, received] : daemon_statuses_.all()) {
+    const DaemonStatus& status = received.status;
+    bool has_no_map = settings_.reads_runner_list && status.version == MapVersion{};
+    bool is_serving = !status.is_draining && !has_no_map;
+    if (now - received.reported_at <= gateway_timeout && is_serving)
+      rows[address] = gateway_row(status.daemon);
     else
       rows.erase(address);
   }
@@ -59,102 +57,113 @@
   return list;
 }
 
-// The edge daemons that follow now, with this master among them.
-std::vector<GatewayRow> ControlDaemon::followers_alive(TimePoint now) const {
+// The edge daemons of the roster that follow now, with this master among them.
+std::vector<GatewayRow> ControlDaemon::live_followers(TimePoint now) const {
   std::vector<GatewayRow> rows;
   for (const auto& entry : proposer_.state().roster) {
     auto heard = election_.followers().find(entry.address);
-    bool is_alive = entry.address == settings_.self.address ||
-                    (heard != election_.followers().end() && now - heard->second <= alive_timeout);
-    if (is_alive)
-      rows.push_back({entry.address, entry.http_address, entry.zone, entry.region});
+    bool follows = heard != election_.followers().end() && now - heard->second <= peer_alive_timeout;
+    if (entry.address == settings_.self.address || follows)
+      rows.push_back(gateway_row(entry));
   }
   return rows;
 }
 
-void ControlDaemon::publish(TimePoint now, bool is_due) {
+bool ControlDaemon::may_publish(TimePoint now) const {
   if (!election_.is_master() || edits_.is_open() || !proposer_.has_state() || is_resuming(now))
-    return;
+    return false;
   const FleetState& state = proposer_.state();
-  if (state.term != election_.term() || state.master != settings_.self.address)
-    return;
+  return state.term == election_.term() && state.master == settings_.self.address;
+}
+
+// A map below the minimum version takes just that version: it is the one that covers the last change. Any other takes
+// the next number; a number that a change has tried for stands for that change alone, in force or not.
+MapVersion ControlDaemon::next_map_version() const {
+  const FleetState& state = proposer_.state();
+  if (map_.version < state.minimum_version)
+    return MapVersion{state.term, state.minimum_version.number};
   std::int64_t last = map_.version.term == state.term ? map_.version.number : 0;
-  bool must_cover = map_.version < state.minimum_version;
-  // A number that an edit has tried for stands for that edit alone, in force or not.
-  if (edits_.attempted_minimum_version().term == state.term && !must_cover)
-    last = std::max(last, edits_.attempted_minimum_version().number);
-  MapVersion version{state.term, must_cover ? state.minimum_version.number : last + 1};
-  auto statuses = runner_health_monitor_.statuses();
-  if (settings_.reads_runner_list) {
-    // Until the list has been read in this term, what the last map said stands.
-    if (!runner_list_.is_known() && !map_.runners.empty() && !must_cover)
-      return;
-    for (const auto& zone : map_.evacuated_zones) {
-      bool is_evacuated = std::any_of(configuration_.orders.begin(), configuration_.orders.end(),
-                                      [&](const auto& order) { return order.zone == zone && order.is_evacuated; });
-      if (!is_evacuated)
-        runner_list_.zone_taken_back(zone, now);
-    }
-    runner_list_.fill(statuses, route_pools_, now);
+  const MapVersion& attempted = edits_.attempted_minimum_version();
+  if (attempted.term == state.term)
+    last = std::max(last, attempted.number);
+  return MapVersion{state.term, last + 1};
+}
+
+// Adds what the list of runners says to the reports of probes. False: the list has not been read in this term yet, and
+// what the last map said stands.
+bool ControlDaemon::add_listed_runners(std::map<RunnerName, RunnerStatus>& statuses, bool must_cover, TimePoint now) {
+  if (!runner_list_.is_known() && !map_.runners.empty() && !must_cover)
+    return false;
+  for (const auto& zone : map_.evacuated_zones) {
+    bool is_evacuated = std::any_of(configuration_.orders.begin(), configuration_.orders.end(),
+                                    [&](const auto& order) { return order.zone == zone && order.is_evacuated; });
+    if (!is_evacuated)
+      runner_list_.zone_taken_back(zone, now);
   }
-  PlacementMap fresh = compute_map(
-      state, placed_configuration(), statuses, gateways(now), followers_alive(now), version,
-      [this, now](const RunnerRow& row, const std::vector<std::string>& near, const std::vector<std::string>& all) {
-        // Work that is bound to a region is brought there by daemons of all regions.
-        return warmup_shares_.share(row, settings_.reads_runner_list ? all : near, all, now);
-      });
-  fresh.routing_table_revision = routing_table_rows_.empty() ? 0 : routing_table_revision_;
-  for (const auto& row : fresh.runners)
+  runner_list_.fill(statuses, routing_table_.pools(), now);
+  return true;
+}
+
+PlacementMap ControlDaemon::next_map(const MapVersion& version, std::map<RunnerName, RunnerStatus> statuses,
+                                     TimePoint now) {
+  auto warmup_share = [this, now](const RunnerRow& row, const std::vector<std::string>& near,
+                                  const std::vector<std::string>& all) {
+    // Work that is bound to a region is brought there by daemons of all regions.
+    return warmup_shares_.share(row, settings_.reads_runner_list ? all : near, all, now);
+  };
+  PlacementMap map = compute_map(proposer_.state(), placed_configuration(), statuses, live_gateways(now),
+                                 live_followers(now), version, warmup_share);
+  map.routing_table_revision = routing_table_.revision();
+  for (const auto& row : map.runners)
     if (row.status == "warm")
       warmup_shares_.forget(row.name);
-  if (!must_cover) {
-    MapChange change = compare_maps(map_, fresh);
-    if (change == MapChange::none)
-      return;
-    if (!is_due && now - published_at_ < (change == MapChange::load ? load_pace : placement_pace))
-      return;
-  }
+  return map;
+}
+
+bool ControlDaemon::is_worth_publishing(const PlacementMap& map, bool is_due, TimePoint now) const {
+  MapChange change = compare_maps(map_, map);
+  if (change == MapChange::none)
+    return false;
+  Duration interval = change == MapChange::load ? load_interval : placement_interval;
+  return is_due || now - published_at_ >= interval;
+}
+
+void ControlDaemon::publish(TimePoint now, bool is_due) {
+  if (!may_publish(now))
+    return;
+  const FleetState& state = proposer_.state();
+  bool must_cover = map_.version < state.minimum_version;
+  MapVersion version = next_map_version();
+  auto statuses = runner_health_monitor_.statuses();
+  if (settings_.reads_runner_list && !add_listed_runners(statuses, must_cover, now))
+    return;
+  PlacementMap map = next_map(version, std::move(statuses), now);
+  if (!must_cover && !is_worth_publishing(map, is_due, now))
+    return;
   published_at_ = now;
   ++counts_.maps_published;
-  fresh.routing_table = routing_table_rows_;
-  map_ = std::move(fresh);
+  map.routing_table = routing_table_.rows();
+  map_ = std::move(map);
   election_.set_version(map_.version);
   if (on_publish)
     on_publish(map_);
   slices_.on_map(map_, now);
   for (const auto& entry : state.roster)
     if (entry.address != settings_.self.address) {
-      map_resent_[entry.address] = now;
+      followers_.on_sent(entry.address, now);
       send_map(entry.address, now);
     }
   settle_edits(now);
 }
 
-PlacementMap ControlDaemon::with_rows(PlacementMap map) const {
-  map.routing_table = map_.routing_table;
-  return map;
-}
-
-// The table's rows go along only where they are not yet: a table may be far larger than all else in the map.
 void ControlDaemon::send_map(const Address& to, TimePoint now) {
-  PlacementUpdate update{map_, false};
-  auto& traffic = follower_routing_tables_[to];
-  bool is_on_its_way =
-      traffic.sent == map_.routing_table_revision && now - traffic.sent_at < routing_table_resend_interval;
-  if (map_.routing_table_revision != 0 && (traffic.known == map_.routing_table_revision || is_on_its_way)) {
-    update.map.routing_table.clear();
-    update.omits_routing_table = true;
-  } else {
-    traffic.sent = map_.routing_table_revision;
-    traffic.sent_at = now;
-  }
-  out_.push_back({to, std::move(update)});
+  out_.push_back({to, followers_.update_for(to, map_, now)});
 }
 
-void ControlDaemon::take_map(const PlacementMap& map, TimePoint now) {
+void ControlDaemon::adopt_map(const PlacementMap& map, TimePoint now) {
   ++counts_.maps_taken;
   if (map.config_revision != map_.config_revision || map.version.term != map_.version.term)
-    note(now, "map", show(map.version) + " config " + std::to_string(map.config_revision));
+    record(now, "map", show(map.version) + " config " + std::to_string(map.config_revision));
   map_ = map;
   election_.set_version(map_.version);
   slices_.on_map(map_, now);
@@ -177,40 +186,18 @@
   out_.push_back({election_.master(), std::move(heartbeat)});
 }
 
-// The table's rows are cut once for each configuration.
-void ControlDaemon::observe_routing_table() {
-  std::string document = routing_table_document_of(proposer_.state());
-  if (document == routing_table_text_)
-    return;
-  routing_table_text_ = document;
-  routing_table_revision_ = proposer_.state().config_revision;
-  routing_table_rows_.clear();
-  route_pools_.clear();
-  if (document.empty())
-    return;
-  for (auto& [key, body] : split_routing_table(document)) {
-    if (key.rfind("pool/", 0) == 0)
-      if (auto pool = read_route_pool(body))
-        route_pools_[pool->name] = *pool;
-    routing_table_rows_.push_back({key, {std::move(body)}});
-  }
-}
-
-const RoutePool* ControlDaemon::route_pool(const PoolName& pool) const {
-  auto found = route_pools_.find(pool);
-  return found == route_pools_.end() ? nullptr : &found->second;
-}
-
-// The configuration with the runners of the outside list: at the master from the list, elsewhere from its map.
+// The configuration with the runners of service discovery: at the master from the list, elsewhere from its map.
 Configuration ControlDaemon::placed_configuration() const {
   Configuration placed = configuration_;
   if (!settings_.reads_runner_list)
     return placed;
-  if (election_.is_master() && runner_list_.is_known()) {
-    placed.runners = runner_list_.entries();
-    return placed;
-  }
-  placed.runners.clear();
+  bool has_list = election_.is_master() && runner_list_.is_known();
+  placed.runners = has_list ? runner_list_.entries() : runners_of_map();
+  return placed;
+}
+
+std::vector<RunnerEntry> ControlDaemon::runners_of_map() const {
+  std::vector<RunnerEntry> runners;
   for (const auto& row : map_.runners) {
     RunnerEntry entry;
     entry.name = row.name;
@@ -219,9 +206,9 @@
     entry.zone = row.zone;
     entry.region = row.region;
     entry.is_leaving = row.status == "leaving";
-    placed.runners.push_back(std::move(entry));
+    runners.push_back(std::move(entry));
   }
-  return placed;
+  return runners;
 }
 
 void ControlDaemon::on_runner_list(std::optional<std::vector<ListedRunner>> runners, TimePoint begun, TimePoint now) {
@@ -231,19 +218,27 @@
     return;
   runner_list_.take(std::move(*runners), begun, now);
   publish(now, false);
-  collect(now);
+  collect_outbound(now);
 }
 
 void ControlDaemon::on_probe(const RunnerStatus& status, TimePoint now) {
   bool is_new = runner_health_monitor_.on_probe(status, now);
-  if (is_new)
-    note(now, "runner", status.name.text + (status.is_reachable ? status.is_warming_up ? " cold" : " warm" : " down"));
-  if (election_.is_master()) {
+  if (is_new) {
+    const char* condition = !status.is_reachable ? " down" : status.is_warming_up ? " cold" : " warm";
+    record(now, "runner", status.name.text + condition);
+  }
+  if (election_.is_master())
     publish(now, false);
-  } else if (is_new) {
+  else if (is_new)
     send_heartbeat(now);
-  }
-  collect(now);
+  collect_outbound(now);
+}
+
+std::vector<std::string> ControlDaemon::gateway_addresses(const RegionName& region, const ZoneName& zone,
+                                                          std::size_t limit, TimePoint now) {
+  detect_pause(now);
+  GatewayKnowledge knowledge{map_, peers_, slices_.in_force(now), slices_.master_heard()};
+  return gateway_directory_.addresses(knowledge, region, zone, limit, random_, now);
 }
 
 }  // namespace emberdale
--- a/packages/control-plane/src/control_messages.cpp
+++ b/packages/control-plane/src/control_messages.cpp
@@ -1,27 +1,28 @@
-// Messages of peers at a control daemon: one handler for each kind.
-#include <algorithm>
-
+// Control daemon: what comes from peers, with one handler for each kind of message.
+#include "emberdale/change_status.hpp"
 #include "emberdale/control_daemon.hpp"
 
 namespace emberdale {
 namespace {
 
-constexpr Duration pause_threshold{1000};  // this long without a timer: the process was paused
-constexpr Duration resume_patience{1000};  // how long it then waits for a majority of the register
-constexpr Duration map_resend_pace{250};   // a map is sent again to one follower at most this often
+constexpr std::size_t most_known_daemons = 24;  // that one answer to a ping names
+
+// The response to a copy of a change that this daemon does nothing with. With a timestamp of this master's clock, the
+// copy may be sent again while it is young enough.
+EditResponse disowned(const EditRequest& request, TimePoint master_timestamp) {
+  return EditResponse{request.request_id,    wire_code(ChangeStatus::not_master), 0, "", request.term,
+                      master_timestamp.value};
+}
 
 }  // namespace
 
 void ControlDaemon::on_message(const Address& from, const Message& message, TimePoint now) {
   ++counts_.messages_in;
-  notice_pause(now);
-  hear_master(now);
-  if (answer_without_store(from, message)) {
-    collect(now);
-    return;
-  }
-  if (acceptor_ && acceptor_->on_message(from, message, now)) {
-    collect(now);
+  detect_pause(now);
+  update_master_contact(now);
+  bool is_handled = respond_without_store(from, message) || (acceptor_ && acceptor_->on_message(from, message, now));
+  if (is_handled) {
+    collect_outbound(now);
     return;
   }
   std::visit([&](const auto& content) { learn_from(from, content, now); }, message);
@@ -39,40 +40,33 @@
   if (is_edge())
     election_.on_message(from, message, now);
   refresh_state(now);
-  collect(now);
+  collect_outbound(now);
   if (election_.is_master() && map_.version < proposer_.state().minimum_version)
     publish(now, true);
   if (!edits_.empty())
     run_edits(now);
-  collect(now);
+  collect_outbound(now);
 }
 
 void ControlDaemon::learn_from(const Address& from, const PingRequest& ping, TimePoint now) {
-  if (!ping.sender.role.empty() && ping.sender.role != "data") {
-    auto& known = known_[from];
-    known.entry = ping.sender;
-    known.heard = now;
-    known.master = ping.master;
-  }
-  // A leaving daemon must not be ranked in an election; one that hands over still leads or follows.
+  bool is_control_daemon = !ping.sender.role.empty() && ping.sender.role != "data";
+  if (is_control_daemon)
+    peers_.observe(from, ping.sender, ping.master, now);
+  // A daemon that stops must not be ranked in an election; one that hands its place over still leads or follows.
   if (!is_stopping_ || is_handing_over_)
-    answer_ping(from, ping, now);
+    respond_to_ping(from, ping, now);
 }
 
 void ControlDaemon::learn_from(const Address& from, const PingResponse& response, TimePoint now) {
-  auto& known = known_[from];
-  known.entry = response.sender;
-  known.heard = now;
-  known.master = response.master;
+  peers_.observe(from, response.sender, response.master, now);
   for (const auto& entry : response.known_daemons)
-    if (entry.address != settings_.self.address && known_[entry.address].entry.role.empty())
-      known_[entry.address].entry = entry;
+    peers_.learn(entry);
   proposer_.learn_acceptors(response.acceptors);
 }
 
-// A control daemon without a store says so, for a founder waits for the word of each seed. And a store outside the
-// set is not offered as a learner any more by a daemon that ends: it says nothing.
-bool ControlDaemon::answer_without_store(const Address& from, const Message& message) {
+// A control daemon without a store answers that it is blank, for the daemon that bootstraps a cluster waits for the
+// answer of each seed. A daemon that stops does not answer with a store outside the set: it is no learner any more.
+bool ControlDaemon::respond_without_store(const Address& from, const Message& message) {
   const auto* request = std::get_if<ReadRequest>(&message);
   if (request == nullptr || !settings_.reconciles_membership)
     return false;
@@ -85,40 +79,36 @@
   return true;
 }
 
-void ControlDaemon::take_report(const DaemonStatus& report, TimePoint now) {
-  TimePoint at{now.value - report.age_ms};
-  auto& entry = in_force_[report.daemon.address];
-  if (entry.second <= at)
-    entry = {report, at};
-}
-
 void ControlDaemon::handle(const Address& from, const Heartbeat& heartbeat, TimePoint now) {
   if (!election_.is_master())
     return;
-  follower_versions_[from] = heartbeat.version;
-  follower_routing_tables_[from].known = heartbeat.routing_table_revision;
+  followers_.on_heartbeat(from, heartbeat);
   for (const auto& status : heartbeat.runner_statuses)
     runner_health_monitor_.on_report(status, now);
-  for (const auto& report : heartbeat.daemon_statuses)
-    take_report(report, now);
-  // A follower that missed a map gets it again.
-  if (heartbeat.version < map_.version && now - map_resent_[from] > map_resend_pace) {
-    map_resent_[from] = now;
+  for (const auto& status : heartbeat.daemon_statuses)
+    daemon_statuses_.record(status, now);
+  bool has_missed_map = heartbeat.version < map_.version;
+  if (has_missed_map && followers_.is_resend_due(from, now)) {
+    followers_.on_sent(from, now);
     send_map(from, now);
   }
   settle_edits(now);
 }
 
 void ControlDaemon::handle(const Address&, const PlacementUpdate& update, TimePoint now) {
-  // One that has just started asks the register first: until it has answered, any term might be over.
+  // A daemon that has just started reads the register first: until that is answered, any term might be over.
   if (!proposer_.has_state() || update.map.version.term < proposer_.state().term) {
     ++counts_.maps_fenced;
   } else if (!election_.is_master() && map_.version < update.map.version) {
-    // Without the table's rows, and they aren't here: the follow below says so, and the whole map comes.
-    if (!update.omits_routing_table)
-      take_map(update.map, now);
-    else if (update.map.routing_table_revision == map_.routing_table_revision)
-      take_map(with_rows(update.map), now);
+    bool has_same_table = update.map.routing_table_revision == map_.routing_table_revision;
+    if (!update.omits_routing_table) {
+      adopt_map(update.map, now);
+    } else if (has_same_table) {
+      PlacementMap completed = update.map;
+      completed.routing_table = map_.routing_table;
+      adopt_map(completed, now);
+    }
+    // Else the rows are missing here: the heartbeat below says so, and the whole map comes.
   }
   if (is_edge() && !election_.is_master())
     send_heartbeat(now);
@@ -136,26 +126,18 @@
 }
 
 void ControlDaemon::handle(const Address&, const DispatchBlock& block, TimePoint) {
-  if (!block.is_relayed)
-    return;
-  DispatchBlock near = block;
-  near.is_relayed = false;
-  for (const auto& gateway : map_.gateways)
-    if (gateway.zone == settings_.self.zone)
-      out_.push_back({gateway.daemon, near});
+  for (auto& outbound : relay_block(block, map_, settings_.self.zone))
+    out_.push_back(std::move(outbound));
 }
 
 void ControlDaemon::handle(const Address& from, const EditRequest& request, TimePoint now) {
   if (!election_.is_master() || request.term != election_.term()) {
-    out_.push_back({from, EditResponse{request.request_id, 0, 0, "", request.term}});
+    out_.push_back({from, disowned(request, TimePoint{0})});
     return;
   }
-  if (is_bound_by_age(request) && !edits_.knows(request.change_id)) {
-    std::optional<Duration> age = age_bound(request, now);
-    if (!age || *age >= settings_.edit_times.requester_timeout) {
-      out_.push_back({from, EditResponse{request.request_id, 0, 0, "", request.term, now.value}});
-      return;
-    }
+  if (is_too_old(request, now)) {
+    out_.push_back({from, disowned(request, now)});
+    return;
   }
   MasterEdits::Edit edit;
   edit.request = request;
@@ -163,6 +145,14 @@
   edits_.take(std::move(edit), now);
 }
 
+// A change that is bound by its age must be proven young, unless it was taken in before.
+bool ControlDaemon::is_too_old(const EditRequest& request, TimePoint now) const {
+  if (!is_bound_by_age(request) || edits_.knows(request.change_id))
+    return false;
+  std::optional<Duration> age = age_bound(request, now);
+  return !age || *age >= settings_.edit_times.requester_timeout;
+}
+
 void ControlDaemon::handle(const Address&, const EditResponse& response, TimePoint now) {
   if (auto ended = forwarder_.on_response(response, now))
     lift_block(ended->block, response);
@@ -170,63 +160,50 @@
 }
 
 void ControlDaemon::handle(const Address& from, const ViewRequest& request, TimePoint now) {
-  out_.push_back({from, ViewResponse{request.request_id, election_.is_master(), is_settled(now), map_, in_force(now)}});
+  out_.push_back({from, local_view(request.request_id, election_.is_master(), now)});
 }
 
 void ControlDaemon::handle(const Address&, const ViewResponse& response, TimePoint) {
-  auto entry = waiting_.find(response.request_id);
-  if (entry == waiting_.end() || !entry->second.view)
-    return;
-  auto done = std::move(entry->second.view);
-  waiting_.erase(entry);
-  done(response);
+  pending_.complete_view(response);
 }
 
-void ControlDaemon::answer_ping(const Address& from, const PingRequest& ping, TimePoint now) {
+// Names the daemons of the sender's zone first; the rest are in the roster of the register.
+void ControlDaemon::respond_to_ping(const Address& from, const PingRequest& ping, TimePoint now) {
   PingResponse response;
   response.request_id = ping.request_id;
   response.sender = settings_.self;
   response.master = election_.master();
   response.version = map_.version;
   response.response_timestamp = now.value;
-  // Near peers first; the roster tells of the rest.
-  for (int round = 0; round < 2; ++round)
-    for (const auto& [address, known] : known_) {
-      bool is_near = known.entry.zone == ping.sender.zone;
-      if (known.entry.role.empty() || known.entry.role == "data" || is_near != (round == 0) || address == from ||
-          is_dead_member(address, now))
-        continue;
-      if (response.known_daemons.size() < 24)
-        response.known_daemons.push_back(known.entry);
+  for (bool wants_same_zone : {true, false})
+    for (const auto& [address, peer] : peers_.all()) {
+      bool is_same_zone = peer.entry.zone == ping.sender.zone;
+      bool is_named = peer.is_identified() && !peer.is_data_daemon() && is_same_zone == wants_same_zone &&
+                      address != from && !is_dead_member(address, now);
+      if (is_named && response.known_daemons.size() < most_known_daemons)
+        response.known_daemons.push_back(peer.entry);
     }
-  if (proposer_.has_state()) {
-    response.fleet_name = proposer_.state().fleet_name;
-    response.acceptors = proposer_.state().acceptors;
-  } else if (acceptor_ && !acceptor_->is_blank()) {
-    response.fleet_name = acceptor_->state().fleet_name;
-    response.acceptors = acceptor_->state().acceptors;
+  const FleetState* state = proposer_.has_state()                 ? &proposer_.state()
+                            : acceptor_ && !acceptor_->is_blank() ? &acceptor_->state()
+                                                                  : nullptr;
+  if (state != nullptr) {
+    response.fleet_name = state->fleet_name;
+    response.acceptors = state->acceptors;
   }
   out_.push_back({from, std::move(response)});
 }
 
-// A process that was paused knows nothing of what came meanwhile: it asks the register before it feeds subscribers or
-// publishes again. When no majority answers within a moment it goes on with what it has, and tells how old that is.
-void ControlDaemon::notice_pause(TimePoint now) {
-  if (now - active_at_ > pause_threshold) {
-    resumed_at_ = now;
+void ControlDaemon::detect_pause(TimePoint now) {
+  if (auto pause = resume_.on_activity(now)) {
     poll_register(now);
-    resume_read_ = proposer_.last_read();
-    note(now, "resumed", "after " + std::to_string((now - active_at_).value) + " ms");
+    resume_.wait_for(proposer_.last_read(), now);
+    record(now, "resumed", "after " + std::to_string(pause->value) + " ms");
   }
-  active_at_ = now;
   slices_.set_held(is_resuming(now));
 }
 
-bool ControlDaemon::is_resuming(TimePoint now) const {
-  return proposer_.confirmed_read() < resume_read_ && now - resumed_at_ <= resume_patience;
-}
-
-void ControlDaemon::hear_master(TimePoint now) {
+// Tells the subscribers' side when a quorum last surely followed the master whose map this is.
+void ControlDaemon::update_master_contact(TimePoint now) {
   if (!election_.is_master())
     slices_.hear_master(election_.master_confirmed());
   else if (map_.version.term == election_.term())
@@ -236,7 +213,7 @@
 void ControlDaemon::synced(std::int64_t token, TimePoint now) {
   if (acceptor_)
     acceptor_->synced(token);
-  collect(now);
+  collect_outbound(now);
 }
 
 void ControlDaemon::write_refused(std::int64_t token) {
--- a/packages/control-plane/src/control_process.cpp
+++ b/packages/control-plane/src/control_process.cpp
@@ -7,69 +7,86 @@
 #include "emberdale/program_settings.hpp"
 
 namespace emberdale {
+namespace {
+constexpr std::size_t segment_bytes = 1 << 20;
+constexpr Duration stop_margin{500};  // over the daemon's own timeout of the hand-over
+constexpr std::chrono::seconds control_thread_timeout{1};
+constexpr std::chrono::seconds snapshot_timeout{5};
+// What is done may cause more to be done; what is left after so many rounds waits for the next timer.
+constexpr int most_flush_rounds = 64;
+constexpr int refusals_per_log_line = 100;
+}  // namespace
 
 ControlProcess::ControlProcess(ControlProcessSettings settings) : settings_(std::move(settings)) {}
 
 Outcome<bool> ControlProcess::open() {
   std::unique_ptr<RegisterAcceptor> acceptor;
   if (!settings_.data_folder.empty()) {
-    auto files = open_disk_folder(settings_.data_folder);
-    if (!files)
-      return failure(files.reason);
-    std::shared_ptr<FileSystem> disk = *files;
-    if (settings_.may_fault_connections)
-      disk = faulty_disk_ = std::make_shared<FaultyFileSystem>(disk);
-    log_ = std::make_unique<SegmentedLog>(disk, 1 << 20);
-    auto opening = log_->open(random_id());
-    if (!opening)
-      return failure(opening.reason);
-    if (!opening->finding.empty())
-      LOG(WARNING) << opening->finding;
-    LOG(INFO) << "store " << opening->store << (opening->is_new ? " (new)" : "") << ", " << opening->records.size()
-              << " records";
-    acceptor = std::make_unique<RegisterAcceptor>(opening->store);
-    auto restored = acceptor->restore(opening->records);
-    if (!restored)
-      return failure("the log can't be replayed: " + restored.reason);
+    auto opened = open_replica();
+    if (!opened)
+      return failure(opened.reason);
+    acceptor = std::move(*opened);
   }
-  const Address self = settings_.daemon.self.address;
   daemon_ = std::make_unique<ControlDaemon>(settings_.daemon, std::move(acceptor));
   daemon_->journal().on_event = [](const JournalEvent& event) {
     LOG(INFO) << event.kind << ": " << event.detail;
   };
-  connections_ = std::make_unique<PeerConnections>(context_, self, [this](const Address& from, Message message) {
-    daemon_->on_message(from, message, steady_now());
-    flush();
-  });
+  connect_peers();
+  return connections_->listen();
+}
+
+Outcome<std::unique_ptr<RegisterAcceptor>> ControlProcess::open_replica() {
+  auto files = open_disk_folder(settings_.data_folder);
+  if (!files)
+    return failure(files.reason);
+  std::shared_ptr<FileSystem> disk = *files;
+  if (settings_.may_fault_connections)
+    disk = faulty_disk_ = std::make_shared<FaultyFileSystem>(disk);
+  log_ = std::make_unique<SegmentedLog>(disk, segment_bytes);
+  auto opening = log_->open(random_id());
+  if (!opening)
+    return failure(opening.reason);
+  if (!opening->finding.empty())
+    LOG(WARNING) << opening->finding;
+  LOG(INFO) << "store " << opening->store << (opening->is_new ? " (new)" : "") << ", " << opening->records.size()
+            << " records";
+  auto acceptor = std::make_unique<RegisterAcceptor>(opening->store);
+  auto restored = acceptor->restore(opening->records);
+  if (!restored)
+    return failure("the log can't be replayed: " + restored.reason);
+  return Outcome<std::unique_ptr<RegisterAcceptor>>(std::move(acceptor));
+}
+
+void ControlProcess::connect_peers() {
+  connections_ = std::make_unique<PeerConnections>(context_, settings_.daemon.self.address,
+                                                   [this](const Address& from, Message message) {
+                                                     daemon_->on_message(from, message, steady_now());
+                                                     flush();
+                                                   });
   connections_->on_refused = [this](const Address& peer) {
     daemon_->on_refused(peer, steady_now());
     flush();
   };
-  return connections_->listen();
 }
 
 void ControlProcess::start() {
   if (log_)
     disk_ = std::thread([this] { run_disk(); });
-  control_ = std::thread([this] {
-    daemon_->start(steady_now());
-    flush();
-    tick();
-    context_.run();
-  });
+  control_ = std::thread([this] { run_control(); });
+}
+
+void ControlProcess::run_control() {
+  daemon_->start(steady_now());
+  flush();
+  schedule_timer();
+  context_.run();
 }
 
-void ControlProcess::stop(Duration patience, std::function<void()> before_end) {
+void ControlProcess::stop(Duration grace, std::function<void()> before_end) {
   post([](ControlDaemon& daemon) { daemon.stop(steady_now()); });
   wait_until_ready_to_end();
-  // Edits in hand get their answer before the links go.
-  std::this_thread::sleep_for(std::chrono::milliseconds(patience.value));
-  std::promise<void> answered;
-  post([&answered](ControlDaemon& daemon) {
-    daemon.answer_all(steady_now());
-    answered.set_value();
-  });
-  answered.get_future().wait();
+  std::this_thread::sleep_for(std::chrono::milliseconds(grace.value));
+  end_all_requests();  // before the connections go
   before_end();
   boost::asio::post(context_, [this] { context_.stop(); });
   control_.join();
@@ -78,19 +95,28 @@
     disk_.join();
 }
 
-// A replica hands its place over first; the daemon bounds that time by its own patience.
+// A replica hands its place over first; the daemon limits the time for that itself.
 void ControlProcess::wait_until_ready_to_end() {
-  const TimePoint end = steady_now() + settings_.daemon.hand_over_patience + Duration{500};
+  const TimePoint end = steady_now() + settings_.daemon.hand_over_timeout + stop_margin;
   while (steady_now() < end) {
-    auto asked = std::make_shared<std::promise<bool>>();
-    auto answer = asked->get_future();
-    post([asked](ControlDaemon& daemon) { asked->set_value(daemon.is_ready_to_end()); });
-    if (answer.wait_for(std::chrono::seconds(1)) == std::future_status::ready && answer.get())
+    auto is_ready = std::make_shared<std::promise<bool>>();
+    auto response = is_ready->get_future();
+    post([is_ready](ControlDaemon& daemon) { is_ready->set_value(daemon.is_ready_to_end()); });
+    if (response.wait_for(control_thread_timeout) == std::future_status::ready && response.get())
       return;
     std::this_thread::sleep_for(std::chrono::milliseconds(settings_.timer_interval.value));
   }
 }
 
+void ControlProcess::end_all_requests() {
+  std::promise<void> ended;
+  post([&ended](ControlDaemon& daemon) {
+    daemon.end_all_requests(steady_now());
+    ended.set_value();
+  });
+  ended.get_future().wait();
+}
+
 void ControlProcess::post(std::function<void(ControlDaemon&)> act) {
   boost::asio::post(context_, [this, act = std::move(act)] {
     act(*daemon_);
@@ -98,7 +124,7 @@
   });
 }
 
-void ControlProcess::tick() {
+void ControlProcess::schedule_timer() {
   timer_.expires_after(std::chrono::milliseconds(settings_.timer_interval.value));
   timer_.async_wait([this](boost::system::error_code fault) {
     if (fault)
@@ -108,79 +134,104 @@
     flush();
     if (on_timer)
       on_timer();
-    tick();
+    schedule_timer();
   });
 }
 
-// Everything the state machine wishes for is carried out here, on the control thread.
 void ControlProcess::flush() {
-  const Address self = settings_.daemon.self.address;
-  for (int round = 0; round < 64; ++round) {
-    bool was_quiet = true;
-    auto writes = daemon_->drain_writes();
-    if (!writes.empty()) {
-      was_quiet = false;
-      if (!jobs_.offer({std::move(writes), epoch_}))
-        LOG(FATAL) << "the disk is " << 4096 << " writes behind";
-    }
-    for (auto& outbound : daemon_->drain_outbound()) {
-      was_quiet = false;
-      if (outbound.to == self) {
-        boost::asio::post(context_, [this, self, message = std::move(outbound.message)] {
-          daemon_->on_message(self, message, steady_now());
-          flush();
-        });
-      } else {
-        connections_->send(outbound.to, outbound.message);
-      }
-    }
-    for (auto& probe : daemon_->drain_probes())
-      if (on_probe_request)
-        on_probe_request(probe);
-    if (was_quiet)
+  for (int round = 0; round < most_flush_rounds; ++round) {
+    bool had_writes = flush_writes();
+    bool had_messages = flush_outbound();
+    flush_probes();
+    if (!had_writes && !had_messages)
       return;
   }
 }
 
-// The disk thread: what has gathered is written and synced together.
+bool ControlProcess::flush_writes() {
+  auto writes = daemon_->drain_writes();
+  if (writes.empty())
+    return false;
+  if (!jobs_.offer({std::move(writes), epoch_}))
+    LOG(FATAL) << "the disk is " << most_disk_jobs << " writes behind";
+  return true;
+}
+
+bool ControlProcess::flush_outbound() {
+  auto messages = daemon_->drain_outbound();
+  for (auto& outbound : messages) {
+    if (outbound.to == settings_.daemon.self.address)
+      deliver_to_self(std::move(outbound.message));
+    else
+      connections_->send(outbound.to, outbound.message);
+  }
+  return !messages.empty();
+}
+
+void ControlProcess::flush_probes() {
+  for (auto& probe : daemon_->drain_probes())
+    if (on_probe_request)
+      on_probe_request(probe);
+}
+
+void ControlProcess::deliver_to_self(Message message) {
+  boost::asio::post(context_, [this, message = std::move(message)] {
+    daemon_->on_message(settings_.daemon.self.address, message, steady_now());
+    flush();
+  });
+}
+
 void ControlProcess::run_disk() {
   while (auto job = jobs_.take()) {
-    std::vector<std::string> records;
-    for (auto& write : job->writes)
-      records.push_back(std::move(write.record));
-    std::int64_t last = job->writes.back().token;
     if (job->epoch <= refused_epoch_)
       continue;
-    auto written = log_->append(records);
-    if (written) {
-      auto synced = log_->sync();
-      if (!synced)
-        LOG(FATAL) << "the data folder can't be synced, nothing is known of it: " << synced.reason;
-      disk_writes_ += static_cast<std::int64_t>(records.size());
-      post([last](ControlDaemon& daemon) { daemon.synced(last, steady_now()); });
-      if (log_->wants_snapshot()) {
-        // The picture was taken before this job: it is taken anew once the job is settled.
-        auto fresh = std::make_shared<std::promise<std::string>>();
-        auto result = fresh->get_future();
-        boost::asio::post(context_, [this, fresh] { fresh->set_value(daemon_->acceptor()->picture()); });
-        if (result.wait_for(std::chrono::seconds(5)) != std::future_status::ready)
-          continue;
-        auto taken = log_->snapshot(result.get());
-        if (!taken)
-          LOG(WARNING) << "no snapshot: " << taken.reason;
-      }
-    } else {
-      ++disk_refused_;
-      LOG_EVERY_N(WARNING, 100) << "the data folder refuses writes: " << written.reason;
-      refused_epoch_ = job->epoch;
-      boost::asio::post(context_, [this, last] {
-        daemon_->write_refused(last);
-        ++epoch_;
-      });
-    }
+    write_job(*job);
     if (log_->must_stop())
       LOG(FATAL) << "the data folder can't be trusted any more: stopping";
   }
 }
 
+// What has gathered is written and synced together.
+void ControlProcess::write_job(DiskJob& job) {
+  std::vector<std::string> records;
+  for (auto& write : job.writes)
+    records.push_back(std::move(write.record));
+  auto written = log_->append(records);
+  if (!written)
+    return on_write_refused(job, written.reason);
+  auto synced = log_->sync();
+  if (!synced)
+    LOG(FATAL) << "the data folder can't be synced, nothing is known of it: " << synced.reason;
+  on_written(job.writes.back().token, records.size());
+}
+
+void ControlProcess::on_written(std::int64_t last_token, std::size_t records) {
+  disk_writes_ += static_cast<std::int64_t>(records);
+  post([last_token](ControlDaemon& daemon) { daemon.synced(last_token, steady_now()); });
+  if (log_->wants_snapshot())
+    take_snapshot();
+}
+
+void ControlProcess::on_write_refused(const DiskJob& job, const std::string& reason) {
+  ++disk_refused_;
+  LOG_EVERY_N(WARNING, refusals_per_log_line) << "the data folder refuses writes: " << reason;
+  refused_epoch_ = job.epoch;
+  boost::asio::post(context_, [this, last_token = job.writes.back().token] {
+    daemon_->write_refused(last_token);
+    ++epoch_;
+  });
+}
+
+// The state is copied on the control thread after what was just written there has been confirmed.
+void ControlProcess::take_snapshot() {
+  auto state = std::make_shared<std::promise<std::string>>();
+  auto copied = state->get_future();
+  boost::asio::post(context_, [this, state] { state->set_value(daemon_->acceptor()->picture()); });
+  if (copied.wait_for(snapshot_timeout) != std::future_status::ready)
+    return;
+  auto taken = log_->snapshot(copied.get());
+  if (!taken)
+    LOG(WARNING) << "no snapshot: " << taken.reason;
+}
+
 }  // namespace emberdale
--- a/packages/control-plane/src/control_process.hpp
+++ b/packages/control-plane/src/control_process.hpp
@@ -1,4 +1,5 @@
-// What every program around a control daemon needs: its one control thread, its links, its disk.
+// A control daemon with its surroundings: the one thread that it runs on, its connections to peers, and the disk thread
+// that makes the writes of its replica durable. What every program around a control daemon needs.
 #pragma once
 #include <atomic>
 #include <boost/asio.hpp>
@@ -16,30 +17,28 @@
 
 struct ControlProcessSettings {
   ControlDaemonSettings daemon;
-  std::string data_folder;             // empty: keeps no copy of the register
+  std::string data_folder;             // empty: keeps no replica of the register
   bool may_fault_connections = false;  // tests only
   Duration timer_interval{25};
 };
 
-// Example:
-//   ControlProcess process(settings); auto opened = process.open(); if (!opened) return refuse(opened.reason);
-//   process.on_probe_request = ...; process.start(); int signal = wait_for_stop(); process.stop();
+// open(), set the callbacks, start(), and at last stop().
 class ControlProcess {
  public:
   explicit ControlProcess(ControlProcessSettings settings);
-  // Opens the data folder and the peer links; the reason tells what can't be had.
+  // Opens the data folder and the connections to peers; the reason says what can't be had.
   Outcome<bool> open();
   void start();
-  // Hands its place in the set over, lays down what can be laid down, waits for `patience`, ends the threads. Example:
-  // process.stop(Duration{300}, [&] { interface.close(); });
-  void stop(Duration patience, std::function<void()> before_end);
+  // Hands over the place in the set of replicas, lays the term down, waits for `grace` so that open requests can end,
+  // ends the others, calls `before_end`, and joins the threads.
+  void stop(Duration grace, std::function<void()> before_end);
 
-  // On the control thread: a probe is wished for; an timer has passed.
+  // Called on the control thread: a runner is to be probed; a timer has passed.
   std::function<void(const ProbeRequest&)> on_probe_request;
   std::function<void()> on_timer;
-  // Does something with the daemon on the control thread. Example: process.post([&](ControlDaemon& daemon) { ... });
+  // Runs `act` on the control thread, and then flush().
   void post(std::function<void(ControlDaemon&)> act);
-  // Carries out what the daemon wishes for; control thread only.
+  // Carries out what the daemon wants done. Control thread only.
   void flush();
 
   ControlDaemon& daemon() { return *daemon_; }
@@ -47,31 +46,48 @@
   boost::asio::io_context& context() { return context_; }
   std::int64_t disk_writes() const { return disk_writes_; }
   std::int64_t disk_refused() const { return disk_refused_; }
-  // Tests only. Example: process.set_disk_fault("full", 0)
+  // Tests only: false if there is no such fault, or no disk.
   bool set_disk_fault(const std::string& fault, std::int64_t ms) {
     return faulty_disk_ && faulty_disk_->set_fault(fault, ms);
   }
 
  private:
+  static constexpr std::size_t most_disk_jobs = 4096;
+
   struct DiskJob {
     std::vector<LogWrite> writes;
-    std::int64_t epoch = 0;  // what was thought out on top of a refused write is refused as well
+    std::int64_t epoch = 0;  // what was decided on top of a refused write is refused as well
   };
-  void tick();
+  Outcome<std::unique_ptr<RegisterAcceptor>> open_replica();
+  void connect_peers();
+  void run_control();
+  void schedule_timer();
   void wait_until_ready_to_end();
+  void end_all_requests();
+  // Each returns whether there was something to be done.
+  bool flush_writes();
+  bool flush_outbound();
+  void flush_probes();
+  void deliver_to_self(Message message);
+
+  // On the disk thread.
   void run_disk();
+  void write_job(DiskJob& job);
+  void on_written(std::int64_t last_token, std::size_t records);
+  void on_write_refused(const DiskJob& job, const std::string& reason);
+  void take_snapshot();
 
   ControlProcessSettings settings_;
   boost::asio::io_context context_{1};
   boost::asio::steady_timer timer_{context_};
   std::shared_ptr<FaultyFileSystem> faulty_disk_;  // tests only
-  std::unique_ptr<SegmentedLog> log_;
-  std::unique_ptr<ControlDaemon> daemon_;
+  std::unique_ptr<SegmentedLog> log_;              // of the disk thread, once that runs; nullptr without a replica
+  std::unique_ptr<ControlDaemon> daemon_;          // of the control thread, once that runs
   std::unique_ptr<PeerConnections> connections_;
-  BoundedQueue<DiskJob> jobs_{4096};
+  BoundedQueue<DiskJob> jobs_{most_disk_jobs};
   std::thread disk_, control_;
-  std::int64_t epoch_ = 1;          // of the control thread
-  std::int64_t refused_epoch_ = 0;  // of the disk thread
+  std::int64_t epoch_ = 1;          // of the control thread: grows with each refused write
+  std::int64_t refused_epoch_ = 0;  // of the disk thread: jobs up to this epoch are passed over
   std::atomic<std::int64_t> disk_writes_{0}, disk_refused_{0};
 };
 
--- a/packages/control-plane/src/edit_batch.cpp
+++ b/packages/control-plane/src/edit_batch.cpp
@@ -1,11 +1,14 @@
 #include "emberdale/edit_batch.hpp"
 
 #include "emberdale/change_identity.hpp"
+#include "emberdale/change_status.hpp"
 #include "emberdale/routing_table_edits.hpp"
 
 namespace emberdale {
 namespace {
-constexpr std::size_t done_kept = 64;
+constexpr std::size_t completed_changes_kept = 64;
+
+bool is_accepted(const EditResult& result) { return is_done(static_cast<ChangeStatus>(result.code)); }
 
 struct Step {
   EditResult result;
@@ -18,9 +21,9 @@
   return step;
 }
 
-Step refused(int code, const std::string& reason) {
+Step refused(ChangeStatus status, const std::string& reason) {
   Step step;
-  step.result.code = code;
+  step.result.code = static_cast<int>(wire_code(status));
   step.result.reason = reason;
   return step;
 }
@@ -42,30 +45,30 @@
   request.action = "put";
   Step step;
   step.result = apply_edit(state, request, state.config_revision + 1);
-  step.is_applied = step.result.code < 300;
+  step.is_applied = is_accepted(step.result);
   if (step.is_applied && has_body_already(state, request, step.result))
     return already_there(resource_of(state.resources, request)->version);
   return step;
 }
 
 Step step_on(const FleetState& state, const EditRequest& request, bool is_leader) {
-  IdempotencyRecord recalled = find_completed_change(state.completed_changes, request);
-  if (recalled.memory == IdempotencyStatus::done)
-    return already_there(recalled.version);
-  if (recalled.memory == IdempotencyStatus::conflicting_id)
-    return refused(conflicting_id_code, conflicting_id_reason);
+  IdempotencyRecord record = find_completed_change(state.completed_changes, request);
+  if (record.status == IdempotencyStatus::done)
+    return already_there(record.version);
+  if (record.status == IdempotencyStatus::conflicting_id)
+    return refused(ChangeStatus::conflict, conflicting_id_reason);
   if (!is_leader)
-    return refused(503, "this daemon is master no more");
+    return refused(ChangeStatus::unavailable, "this daemon is master no more");
   if (request.action == ensure_act)
     return ensure(state, request);
   Step step;
   if (request.kind == routing_table_kind) {
-    RoutingTableEditResult traffic = apply_routing_table_edit(state, request, state.config_revision + 1);
-    step.result = std::move(traffic.edit);
-    step.is_applied = step.result.code < 300 && !traffic.is_repeat;
+    RoutingTableEditResult edit = apply_routing_table_edit(state, request, state.config_revision + 1);
+    step.result = std::move(edit.edit);
+    step.is_applied = is_accepted(step.result) && !edit.is_repeat;
   } else {
     step.result = apply_edit(state, request, state.config_revision + 1);
-    step.is_applied = step.result.code < 300;
+    step.is_applied = is_accepted(step.result);
   }
   return step;
 }
@@ -86,9 +89,9 @@
     step.result.resources.clear();
     edit.result = std::move(step.result);
   }
-  if (state.completed_changes.size() > done_kept)
+  if (state.completed_changes.size() > completed_changes_kept)
     state.completed_changes.erase(state.completed_changes.begin(),
-                                  state.completed_changes.end() - static_cast<std::ptrdiff_t>(done_kept));
+                                  state.completed_changes.end() - static_cast<std::ptrdiff_t>(completed_changes_kept));
   return is_changed;
 }
 
--- a/packages/control-plane/src/edit_forwarder.cpp
+++ b/packages/control-plane/src/edit_forwarder.cpp
@@ -3,71 +3,56 @@
 #include <algorithm>
 #include <nlohmann/json.hpp>
 
+#include "emberdale/change_status.hpp"
 #include "emberdale/json_text.hpp"
-#include "emberdale/serving_plans.hpp"
 
 namespace emberdale {
 namespace {
 using Json = nlohmann::json;
-constexpr Duration send_pace{500};
-// Told to take work away, we say yes, no or unknown before grants by the old map could outlast 5 s.
-constexpr Duration block_timeout{3000};
-}  // namespace
 
-std::string reason_body(const std::string& reason, const std::string& outcome) {
-  return json_text(Json{{"reason", reason}, {"outcome", outcome}});
+constexpr Duration send_interval{500};
+// A large change takes its time on a narrow connection, and so does its response.
+constexpr std::size_t bytes_per_extra_ms = 200;
+
+Duration send_interval_of(const EditRequest& request) {
+  return Duration{send_interval.value + static_cast<std::int64_t>(request.body.size() / bytes_per_extra_ms)};
 }
 
-ForwardedBlock block_of(const EditRequest& request, std::int64_t version, TimePoint now) {
-  ForwardedBlock passed;
-  if (request.action == "delete" || (request.kind != runners_kind && request.kind != orders_kind))
-    return passed;
-  Json body = Json::parse(request.body, nullptr, false);
-  if (!body.is_object())
-    return passed;
-  DispatchBlock block;
-  block.change_id = request.change_id;
-  if (request.kind == runners_kind && body.value("leaving", Json()) == true)
-    block.runner.text = request.name;
-  else if (request.kind == orders_kind && body.value("state", Json()) == "emptied")
-    block.zone.text = request.name;
+// A refusal settles the copies of its own term: asked again, that master says the same. One that was worked out on the
+// register's state settles all earlier terms as well, for what they did would have been found. Any other copy that is
+// out may yet turn out to be done.
+void settle_copies(std::map<std::int64_t, int>& copies, const EditResponse& response) {
+  if (status_of(response) == ChangeStatus::unavailable)
+    copies.erase(response.term);
   else
-    return passed;
-  return ForwardedBlock{block, now + block_interval, now + block_timeout, version};
+    copies.erase(copies.begin(), copies.upper_bound(response.term));
 }
+}  // namespace
 
-bool ForwardedBlock::is_due(std::int64_t current_version, TimePoint now) {
-  if (!block || now < next)
-    return false;
-  if (is_over(now) || current_version != version) {  // done, or overtaken by another edit
-    block.reset();
-    return false;
-  }
-  next = now + block_interval;
-  return true;
+std::string reason_body(const std::string& reason, const std::string& outcome) {
+  return json_text(Json{{"reason", reason}, {"outcome", outcome}});
 }
 
 void EditForwarder::take(EditRequest request, EditDone done, ForwardedBlock block, TimePoint now) {
-  std::int64_t number = request.request_id;
-  waiting_[number] =
+  std::int64_t request_id = request.request_id;
+  waiting_[request_id] =
       Waiting{std::move(request), std::move(done), std::move(block), now, now + times_.leader_wait, TimePoint{}, {}};
 }
 
 std::vector<OutboundMessage> EditForwarder::send(const Address& master, std::int64_t term, TimePoint now,
-                                                 std::int64_t stamp) {
-  if (stamp_term_ == term)
-    stamp = std::max(stamp, stamp_);
+                                                 std::int64_t master_timestamp) {
+  if (timestamp_term_ == term)
+    master_timestamp = std::max(master_timestamp, master_timestamp_);
   std::vector<OutboundMessage> messages;
-  for (auto& [number, edit] : waiting_) {
+  for (auto& [request_id, edit] : waiting_) {
     if (master.empty() || now < edit.send_next || is_too_old(edit, now))
       continue;
-    // A large one takes its time on a narrow link, and so does its answer.
-    edit.send_next = now + Duration{send_pace.value + static_cast<std::int64_t>(edit.request.body.size() / 200)};
+    edit.send_next = now + send_interval_of(edit.request);
     if (edit.copies.empty())
       edit.deadline = now + times_.response_timeout;
     edit.request.term = term;
     edit.request.age_ms = (now - edit.taken_at).value;
-    edit.request.master_timestamp = stamp;
+    edit.request.master_timestamp = master_timestamp;
     ++edit.copies[term];
     messages.push_back({master, edit.request});
   }
@@ -75,47 +60,45 @@
 }
 
 std::vector<EditForwarder::Waiting> EditForwarder::take_back(TimePoint now) {
-  std::vector<Waiting> mine;
+  std::vector<Waiting> taken;
   for (auto entry = waiting_.begin(); entry != waiting_.end();) {
     if (is_too_old(entry->second, now)) {
       ++entry;
       continue;
     }
-    mine.push_back(std::move(entry->second));
+    taken.push_back(std::move(entry->second));
     entry = waiting_.erase(entry);
   }
-  return mine;
+  return taken;
+}
+
+// That copy does nothing: it came to a daemon that does not lead its term, or that could not tell how old it was.
+void EditForwarder::on_disowned_copy(Waiting& edit, const EditResponse& response, TimePoint now) {
+  auto copy = edit.copies.find(response.term);
+  if (copy != edit.copies.end() && --copy->second == 0)
+    edit.copies.erase(copy);
+  if (edit.copies.empty())
+    edit.deadline = std::min(edit.deadline, now + times_.leader_wait);
+  if (response.master_timestamp <= 0)
+    return;
+  bool is_same_term = timestamp_term_ == response.term;
+  master_timestamp_ = is_same_term ? std::max(master_timestamp_, response.master_timestamp) : response.master_timestamp;
+  timestamp_term_ = response.term;
+  edit.send_next = now;
 }
 
 std::optional<EditForwarder::Waiting> EditForwarder::on_response(const EditResponse& response, TimePoint now) {
   auto entry = waiting_.find(response.request_id);
   if (entry == waiting_.end())
     return std::nullopt;
-  auto& copies = entry->second.copies;
-  if (response.code == 0) {
-    // That copy does nothing: it came to one that does not lead that term.
-    auto copy = copies.find(response.term);
-    if (copy != copies.end() && --copy->second == 0)
-      copies.erase(copy);
-    if (copies.empty())
-      entry->second.deadline = std::min(entry->second.deadline, now + times_.leader_wait);
-    if (response.master_timestamp > 0) {  // of the master of that term: it could not tell how old the copy was
-      stamp_ = stamp_term_ == response.term ? std::max(stamp_, response.master_timestamp) : response.master_timestamp;
-      stamp_term_ = response.term;
-      entry->second.send_next = now;
-    }
+  ChangeStatus status = status_of(response);
+  if (status == ChangeStatus::not_master) {
+    on_disowned_copy(entry->second, response, now);
     return std::nullopt;
   }
-  // A refusal settles its own term: asked again, that master says the same. One that was worked out on the
-  // register's state settles all terms before it too: what they did would have been found. Any other copy
-  // that is out may yet turn out to be done.
-  bool is_refusal = response.code != 200 && response.code != 201 && response.code != 504;
-  if (is_refusal) {
-    if (response.code == 503)
-      copies.erase(response.term);
-    else
-      copies.erase(copies.begin(), copies.upper_bound(response.term));
-    if (!copies.empty())
+  if (is_refusal(status)) {
+    settle_copies(entry->second.copies, response);
+    if (!entry->second.copies.empty())
       return std::nullopt;
   }
   Waiting ended = std::move(entry->second);
@@ -124,40 +107,44 @@
   return ended;
 }
 
-std::vector<std::pair<EditForwarder::Waiting, EditResponse>> EditForwarder::on_timer(TimePoint now) {
-  std::vector<std::pair<Waiting, EditResponse>> over;
+bool EditForwarder::is_expired(const Waiting& edit, TimePoint now) const {
+  bool can_be_sent_no_more = edit.copies.empty() && is_too_old(edit, now);
+  return edit.deadline <= now || edit.block.is_over(now) || can_be_sent_no_more;
+}
+
+std::vector<EditForwarder::Expired> EditForwarder::on_timer(TimePoint now) {
+  std::vector<Expired> ended;
   for (auto entry = waiting_.begin(); entry != waiting_.end();) {
-    const Waiting& edit = entry->second;
-    bool can_be_sent_no_more = edit.copies.empty() && is_too_old(edit, now);
-    if (now < edit.deadline && !edit.block.is_over(now) && !can_be_sent_no_more) {
+    if (!is_expired(entry->second, now)) {
       ++entry;
       continue;
     }
-    over.push_back(ended_without_answer(std::move(entry->second)));
+    ended.push_back(expired(std::move(entry->second)));
     entry = waiting_.erase(entry);
   }
-  for (auto& [edit, answer] : over)
-    edit.done(answer);
-  return over;
+  notify(ended);
+  return ended;
 }
 
-std::vector<std::pair<EditForwarder::Waiting, EditResponse>> EditForwarder::end_all() {
-  std::vector<std::pair<Waiting, EditResponse>> over;
-  for (auto& [number, edit] : std::exchange(waiting_, {}))
-    over.push_back(ended_without_answer(std::move(edit)));
-  for (auto& [edit, answer] : over)
-    edit.done(answer);
-  return over;
+std::vector<EditForwarder::Expired> EditForwarder::end_all() {
+  std::vector<Expired> ended;
+  for (auto& [request_id, edit] : std::exchange(waiting_, {}))
+    ended.push_back(expired(std::move(edit)));
+  notify(ended);
+  return ended;
 }
 
-std::pair<EditForwarder::Waiting, EditResponse> EditForwarder::ended_without_answer(Waiting edit) const {
-  bool is_refused = edit.copies.empty();
-  EditResponse response;
+EditForwarder::Expired EditForwarder::expired(Waiting edit) {
+  EditResponse response = edit.copies.empty()
+                              ? edit_failure(ChangeStatus::unavailable, "no master is known here")
+                              : edit_failure(ChangeStatus::unknown, "the master did not answer in time; read it back");
   response.request_id = edit.request.request_id;
-  response.code = is_refused ? 503 : 504;
-  response.body = is_refused ? reason_body("no master is known here", "refused")
-                             : reason_body("the master did not answer in time; read it back", "unknown");
   return {std::move(edit), std::move(response)};
 }
 
+void EditForwarder::notify(std::vector<Expired>& expired) {
+  for (auto& [edit, response] : expired)
+    edit.done(response);
+}
+
 }  // namespace emberdale
--- /dev/null
+++ b/packages/control-plane/src/forwarded_block.cpp
@@ -0,0 +1,86 @@
+#include "emberdale/forwarded_block.hpp"
+
+#include <nlohmann/json.hpp>
+#include <set>
+
+#include "emberdale/freshness_times.hpp"
+#include "emberdale/serving_plans.hpp"
+
+namespace emberdale {
+namespace {
+using Json = nlohmann::json;
+
+// A change that takes work away is answered with yes, no or unknown before leases by the old map could outlast 5 s.
+constexpr Duration block_timeout{3000};
+
+bool drains_runner(const EditRequest& request, const Json& body) {
+  return request.kind == runners_kind && body.value("leaving", Json()) == true;
+}
+
+bool evacuates_zone(const EditRequest& request, const Json& body) {
+  return request.kind == orders_kind && body.value("state", Json()) == "emptied";
+}
+}  // namespace
+
+ForwardedBlock block_of(const EditRequest& request, std::int64_t version, TimePoint now) {
+  bool may_take_work_away = request.kind == runners_kind || request.kind == orders_kind;
+  if (request.action == "delete" || !may_take_work_away)
+    return {};
+  Json body = Json::parse(request.body, nullptr, false);
+  if (!body.is_object())
+    return {};
+  DispatchBlock block;
+  block.change_id = request.change_id;
+  if (drains_runner(request, body))
+    block.runner.text = request.name;
+  else if (evacuates_zone(request, body))
+    block.zone.text = request.name;
+  else
+    return {};
+  return ForwardedBlock{block, now + block_interval, now + block_timeout, version};
+}
+
+bool ForwardedBlock::is_due(std::int64_t current_version, TimePoint now) {
+  if (!block || now < next)
+    return false;
+  bool is_settled = current_version != version;
+  if (is_over(now) || is_settled) {
+    block.reset();
+    return false;
+  }
+  next = now + block_interval;
+  return true;
+}
+
+std::vector<OutboundMessage> broadcast_block(const DispatchBlock& block, const PlacementMap& map,
+                                             const PeerTable& peers, const Address& self) {
+  std::vector<OutboundMessage> messages;
+  for (const auto& gateway : map.gateways)
+    messages.push_back({gateway.daemon, block});
+  DispatchBlock relayed = block;
+  relayed.is_relayed = true;
+  std::set<Address> relays;
+  for (const auto& edge : map.edges)
+    relays.insert(edge.daemon);
+  for (const auto& [address, peer] : peers.all())
+    if (peer.is_edge())
+      relays.insert(address);
+  relays.erase(self);
+  for (const auto& relay : relays)
+    messages.push_back({relay, relayed});
+  return messages;
+}
+
+std::vector<OutboundMessage> relay_block(const DispatchBlock& block, const PlacementMap& map, const ZoneName& zone) {
+  std::vector<OutboundMessage> messages;
+  if (!block.is_relayed)
+    return messages;
+  DispatchBlock direct = block;
+  direct.is_relayed = false;
+  for (const auto& gateway : map.gateways)
+    if (gateway.zone == zone)
+      messages.push_back({gateway.daemon, direct});
+  return messages;
+}
+
+}  // namespace emberdale
--- /dev/null
+++ b/packages/control-plane/src/gateway_directory.cpp
@@ -0,0 +1,90 @@
+#include "emberdale/gateway_directory.hpp"
+
+namespace emberdale {
+namespace {
+
+// A subscriber that has been silent for longer is not named.
+constexpr Duration subscriber_timeout{1300};
+// The map counts for daemons that do not subscribe here for so long after a quorum last followed its master: longer
+// than an election takes.
+constexpr Duration map_lifetime{10000};
+// A single data daemon would have no one to fail over to.
+constexpr std::size_t fewest_gateways = 2;
+
+enum class Readiness { ready, not_ready, unknown };
+
+// What the newest report of a subscriber says of it.
+Readiness readiness_of(const DaemonStatus& report) {
+  if (report.is_draining)
+    return Readiness::not_ready;
+  if (report.age_ms <= subscriber_timeout.value)
+    return report.version != MapVersion{} ? Readiness::ready : Readiness::not_ready;
+  return report.age_ms <= map_lifetime.value ? Readiness::not_ready : Readiness::unknown;
+}
+
+void shuffle(std::vector<std::string>& addresses, RandomGenerator& random) {
+  for (std::size_t i = addresses.size(); i > 1; --i)
+    std::swap(addresses[i - 1], addresses[static_cast<std::size_t>(random.below(static_cast<std::int64_t>(i)))]);
+}
+
+}  // namespace
+
+std::map<Address, GatewayRow> GatewayDirectory::gateways_of_map(const GatewayKnowledge& knowledge,
+                                                                TimePoint now) const {
+  std::map<Address, GatewayRow> rows;
+  if (now - knowledge.master_heard > map_lifetime)
+    return rows;
+  std::set<ZoneName> subscribed_zones = zones_subscribed_here(knowledge, now);
+  for (const auto& row : knowledge.map.gateways)
+    if (subscribed_zones.count(row.zone) == 0)
+      rows[row.daemon] = row;
+  return rows;
+}
+
+std::set<ZoneName> GatewayDirectory::zones_subscribed_here(const GatewayKnowledge& knowledge, TimePoint now) const {
+  std::set<ZoneName> zones;
+  for (const auto& report : knowledge.subscribers)
+    if (report.age_ms <= subscriber_timeout.value)
+      zones.insert(report.daemon.zone);
+  zones.erase(zone_);
+  for (const auto& [address, peer] : knowledge.peers.all())
+    if (peer.is_edge() && peer.was_heard_within(subscriber_timeout, now))
+      zones.erase(peer.entry.zone);
+  return zones;
+}
+
+std::vector<GatewayRow> GatewayDirectory::ready_gateways(const GatewayKnowledge& knowledge, TimePoint now) const {
+  std::map<Address, GatewayRow> rows = gateways_of_map(knowledge, now);
+  for (const auto& report : knowledge.subscribers) {
+    const DaemonEntry& daemon = report.daemon;
+    Readiness readiness = readiness_of(report);
+    if (readiness == Readiness::ready)
+      rows[daemon.address] = {daemon.address, daemon.http_address, daemon.zone, daemon.region};
+    else if (readiness == Readiness::not_ready)
+      rows.erase(daemon.address);
+  }
+  std::vector<GatewayRow> ready;
+  for (auto& [address, row] : rows)
+    if (!row.http_address.empty())
+      ready.push_back(std::move(row));
+  return ready;
+}
+
+std::vector<std::string> GatewayDirectory::addresses(const GatewayKnowledge& knowledge, const RegionName& region,
+                                                     const ZoneName& zone, std::size_t limit, RandomGenerator& random,
+                                                     TimePoint now) const {
+  std::vector<std::string> in_zone, in_region, elsewhere;
+  for (const auto& row : ready_gateways(knowledge, now))
+    (row.zone == zone ? in_zone : row.region == region ? in_region : elsewhere).push_back(row.http_address);
+  std::vector<std::string> named = std::move(in_zone);
+  if (named.size() < fewest_gateways)
+    named.insert(named.end(), in_region.begin(), in_region.end());
+  if (named.size() < fewest_gateways)
+    named.insert(named.end(), elsewhere.begin(), elsewhere.end());
+  shuffle(named, random);
+  if (named.size() > limit)
+    named.resize(limit);
+  return named;
+}
+
+}  // namespace emberdale
--- a/packages/control-plane/src/leader_lease.cpp
+++ b/packages/control-plane/src/leader_lease.cpp
@@ -2,12 +2,29 @@
 
 namespace emberdale {
 namespace {
+constexpr Duration keep_interval{700};
+constexpr Duration keep_timeout{2000};
+
 std::vector<Address> addresses(const std::vector<DaemonEntry>& roster) {
   std::vector<Address> list;
   for (const auto& entry : roster)
     list.push_back(entry.address);
   return list;
 }
+
+// The previous master may still grant leases, unless it laid its term down or was this daemon itself. It needs the
+// acknowledgements of a majority of the lease roster for that: if a majority has promised to give none any more, a
+// short wait is enough.
+Duration wait_of_next_term(const FleetState& state, const TermClaim& claim, const Address& self, bool is_promise_off) {
+  bool was_laid_down = state.master.empty() || state.master == self;
+  if (was_laid_down)
+    return Duration{0};
+  std::size_t promised = 0;
+  for (const auto& daemon : state.lease_roster)
+    promised += claim.promised.count(daemon);
+  bool is_bound = promised > state.lease_roster.size() / 2 || is_promise_off;
+  return is_bound ? quick_ack_wait : late_ack_wait;
+}
 }  // namespace
 
 FleetState LeaderLease::claimed(const FleetState& state, const TermClaim& claim, const Address& self,
@@ -16,16 +33,10 @@
   next.term = claim.expected_term + 1;
   next.master = self;
   next.minimum_version = MapVersion{next.term, 1};
-  // An elder may still grant leases for its maps, unless it laid its term down or was this daemon itself. A majority
-  // of those without whose acknowledges it can't has promised to acknowledge nothing more: then a short wait is enough.
-  // A long one that began before us goes on.
-  std::size_t promised = 0;
-  for (const auto& daemon : state.lease_roster)
-    promised += claim.promised.count(daemon);
-  bool is_bound = promised > state.lease_roster.size() / 2 || is_promise_off;
-  bool was_laid_down = state.master.empty() || state.master == self;
-  if (state.acknowledgement_wait_ms <= quick_ack_wait.value)
-    next.acknowledgement_wait_ms = was_laid_down ? 0 : is_bound ? quick_ack_wait.value : late_ack_wait.value;
+  // A long wait that an earlier term began goes on.
+  bool is_long_wait_open = state.acknowledgement_wait_ms > quick_ack_wait.value;
+  if (!is_long_wait_open)
+    next.acknowledgement_wait_ms = wait_of_next_term(state, claim, self, is_promise_off).value;
   if (is_at_once)
     next.acknowledgement_wait_ms = 0;
   next.lease_roster = addresses(state.roster);
@@ -55,7 +66,7 @@
     return;
   }
   is_writing_ = true;
-  keep_next_ = now + Duration{700};
+  keep_next_ = now + keep_interval;
   tried_roster_ = roster;
   proposer_.change(
       [roster, is_wait_over, term = state.term, self = self_](const FleetState& found) -> Verdict {
@@ -67,7 +78,7 @@
           next.acknowledgement_wait_ms = 0;
         return {Verdict::Kind::apply, next, ""};
       },
-      [this](const ChangeEnd&) { is_writing_ = false; }, now, Duration{2000});
+      [this](const ChangeEnd&) { is_writing_ = false; }, now, keep_timeout);
 }
 
 }  // namespace emberdale
--- a/packages/control-plane/src/main.cpp
+++ b/packages/control-plane/src/main.cpp
@@ -11,10 +11,18 @@
 #include "control_process.hpp"
 #include "emberdale/program_settings.hpp"
 
-using namespace emberdale;
+namespace emberdale {
+namespace {
+
 using Json = nlohmann::json;
 
-static const char usage[] = R"(emberdale-control-plane: elects the master, keeps the register, feeds the map.
+constexpr Duration stop_grace{300};
+constexpr std::chrono::milliseconds probe_timeout{900};
+constexpr int http_threads = 3;
+constexpr int exit_failure = 1;
+constexpr int exit_bad_settings = 2;
+
+const char usage[] = R"(emberdale-control-plane: elects the master, keeps the register, feeds the map.
 
 Usage:
   emberdale-control-plane [options]
@@ -35,29 +43,36 @@
   -h --help             Show this.
 )";
 
-namespace {
+// What the /status of a runner says. Another runner may have taken its address: then it counts as unreachable.
+RunnerStatus read_status(const RunnerName& name, const std::string& text) {
+  RunnerStatus status;
+  status.name = name;
+  try {
+    Json body = Json::parse(text);
+    if (body.value("name", "") != name.text)
+      return status;
+    status.is_reachable = true;
+    status.is_warming_up = body.value("cold", false);
+    status.incarnation = body.value("incarnation", std::int64_t{0});
+    status.capacity = body.value("capacity", std::int64_t{1});
+    status.load = body.value("burden", std::int64_t{0});
+    status.allowance = body.value("allowance", std::int64_t{1});
+  } catch (const Json::exception&) {
+    // What could be read up to here stands.
+  }
+  return status;
+}
 
 class Program {
  public:
   explicit Program(ProgramSettings settings) : settings_(std::move(settings)), process_(process_settings(settings_)) {}
 
+  // Serves until a signal comes; the exit code of the program.
   int run() {
     auto opened = process_.open();
     if (!opened)
       return refuse(opened.reason);
-    interface_ = std::make_unique<ControlInterface>(process_.context(), process_.daemon(), process_.connections(),
-                                                    settings_.self.http_address, settings_.may_fault_connections,
-                                                    [this] { process_.flush(); });
-    interface_->more_counters = [this] {
-      return std::map<std::string, std::int64_t>{{"disk_writes", process_.disk_writes()},
-                                                 {"disk_refused", process_.disk_refused()}};
-    };
-    interface_->set_disk_fault = [this](const std::string& fault, std::int64_t ms) {
-      return process_.set_disk_fault(fault, ms);
-    };
-    process_.on_probe_request = [this](const ProbeRequest& request) {
-      probe(request);
-    };
+    open_interface();
     auto listens = interface_->open();
     if (!listens)
       return refuse(listens.reason);
@@ -66,7 +81,7 @@
               << settings_.self.http_address;
     int signal = wait_for_stop();
     LOG(INFO) << "stopping on signal " << signal;
-    process_.stop(Duration{300}, [this] { interface_->close(); });
+    process_.stop(stop_grace, [this] { interface_->close(); });
     return 0;
   }
 
@@ -82,35 +97,48 @@
     return process_settings;
   }
 
+  void open_interface() {
+    interface_ = std::make_unique<ControlInterface>(process_.context(), process_.daemon(), process_.connections(),
+                                                    settings_.self.http_address, settings_.may_fault_connections,
+                                                    [this] { process_.flush(); });
+    interface_->more_counters = [this] {
+      return std::map<std::string, std::int64_t>{{"disk_writes", process_.disk_writes()},
+                                                 {"disk_refused", process_.disk_refused()}};
+    };
+    interface_->set_disk_fault = [this](const std::string& fault, std::int64_t ms) {
+      return process_.set_disk_fault(fault, ms);
+    };
+    process_.on_probe_request = [this](const ProbeRequest& request) {
+      probe(request);
+    };
+  }
+
   int refuse(const std::string& reason) {
     LOG(ERROR) << reason;
-    return 1;
+    return exit_failure;
   }
 
-  void probe(const ProbeRequest& probe) {
-    auto& client = clients_[probe.http];
+  web::http::client::http_client& client_of(const std::string& http_address) {
+    auto& client = clients_[http_address];
     if (!client) {
       web::http::client::http_client_config config;
-      config.set_timeout(std::chrono::milliseconds(900));
-      client = std::make_unique<web::http::client::http_client>("http://" + probe.http, config);
+      config.set_timeout(probe_timeout);
+      client = std::make_unique<web::http::client::http_client>("http://" + http_address, config);
     }
-    auto name = probe.runner;
-    client->request(web::http::methods::GET, "/status")
+    return *client;
+  }
+
+  void probe(const ProbeRequest& probe) {
+    client_of(probe.http)
+        .request(web::http::methods::GET, "/status")
         .then([](web::http::http_response response) { return response.extract_string(true); })
-        .then([this, name](pplx::task<utility::string_t> reading) {
+        .then([this, name = probe.runner](pplx::task<utility::string_t> reading) {
           RunnerStatus status;
           status.name = name;
           try {
-            Json body = Json::parse(reading.get());
-            if (body.value("name", "") == name.text) {  // else another runner lives at that address now
-              status.is_reachable = true;
-              status.is_warming_up = body.value("cold", false);
-              status.incarnation = body.value("incarnation", std::int64_t{0});
-              status.capacity = body.value("capacity", std::int64_t{1});
-              status.load = body.value("burden", std::int64_t{0});
-              status.allowance = body.value("allowance", std::int64_t{1});
-            }
+            status = read_status(name, reading.get());
           } catch (const std::exception&) {
+            // No answer: the status says that the runner can't be reached.
           }
           process_.post([status](ControlDaemon& daemon) { daemon.on_probe(status, steady_now()); });
         });
@@ -122,10 +150,8 @@
   std::map<std::string, std::unique_ptr<web::http::client::http_client>> clients_;
 };
 
-}  // namespace
-
-int main(int count, char** words) {
-  auto arguments = docopt::docopt(usage, {words + 1, words + count}, true, "emberdale-control-plane 0.1");
+int run_program(int argc, char** argv) {
+  auto arguments = docopt::docopt(usage, {argv + 1, argv + argc}, true, "emberdale-control-plane 0.1");
   std::vector<std::string> findings;
   bool is_core = arguments["--data-folder"].isString();
   ProgramSettings settings = read_settings(arguments, "edge", findings);
@@ -133,9 +159,14 @@
   if (!findings.empty()) {
     for (const auto& finding : findings)
       std::cerr << "emberdale-control-plane: " << finding << "\n";
-    return 2;
+    return exit_bad_settings;
   }
   start_program("emberdale-control-plane");
-  crossplat::threadpool::initialize_with_threads(3);
+  crossplat::threadpool::initialize_with_threads(http_threads);
   return Program(std::move(settings)).run();
 }
+
+}  // namespace
+}  // namespace emberdale
+
+int main(int argc, char** argv) { return emberdale::run_program(argc, argv); }
--- a/packages/control-plane/src/membership_plan.cpp
+++ b/packages/control-plane/src/membership_plan.cpp
@@ -6,7 +6,7 @@
 namespace emberdale {
 namespace {
 
-constexpr std::size_t least_members = 3;
+constexpr std::size_t fewest_members = 3;
 
 std::size_t majority_of(std::size_t size) { return size / 2 + 1; }
 
@@ -23,8 +23,9 @@
   return zones;
 }
 
-// The lower, the more evenly members lie in zones, and the fewer go with the loss of one zone.
-std::size_t crowding(const std::vector<ZoneName>& zones) {
+// The sum of the squares of the members in each zone. The lower, the more evenly they are spread, and the fewer are
+// lost with one zone.
+std::size_t concentration(const std::vector<ZoneName>& zones) {
   std::map<ZoneName, std::size_t> counts;
   for (const auto& zone : zones)
     ++counts[zone];
@@ -38,19 +39,19 @@
 const LearnerView* best_learner(const std::vector<ZoneName>& zones, const std::vector<LearnerView>& learners,
                                 const std::vector<AcceptorEntry>& taken) {
   const LearnerView* best = nullptr;
-  std::size_t best_crowding = 0;
+  std::size_t best_concentration = 0;
   for (const auto& learner : learners) {
     if (holds(taken, learner.entry))
       continue;
     std::vector<ZoneName> with = zones;
     with.push_back(learner.zone);
-    std::size_t its_crowding = crowding(with);
-    bool is_better = best == nullptr || its_crowding < best_crowding ||
-                     (its_crowding == best_crowding && learner.is_synced && !best->is_synced);
+    std::size_t concentration_with = concentration(with);
+    bool is_better = best == nullptr || concentration_with < best_concentration ||
+                     (concentration_with == best_concentration && learner.is_synced && !best->is_synced);
     if (!is_better)
       continue;
     best = &learner;
-    best_crowding = its_crowding;
+    best_concentration = concentration_with;
   }
   return best;
 }
@@ -147,7 +148,7 @@
   }
   // An even set loses one, an odd set two: another number would leave the majority as large as it was.
   std::size_t count = members.size() % 2 == 0 ? 1 : 2;
-  if (long_dead.size() < count || answering < least_members || members.size() < least_members + count)
+  if (long_dead.size() < count || answering < fewest_members || members.size() < fewest_members + count)
     return std::nullopt;
   long_dead.resize(count);
   MembershipChange change;
--- a/packages/control-plane/src/membership_reconciler.cpp
+++ b/packages/control-plane/src/membership_reconciler.cpp
@@ -4,22 +4,25 @@
 
 namespace emberdale {
 namespace {
-constexpr Duration request_interval{950};       // a learner is asked about once a second
-constexpr Duration learner_memory{2200};        // one that has not answered for so long is gone again
-constexpr Duration silence_timeout{2500};       // a replica that nobody has heard for so long is replaced...
-constexpr Duration unreachable_span{10000};     // ...and one that others hear, but that never answers here, after this
-constexpr Duration report_age{1200};            // the word of the replicas on who is silent counts for so long
-constexpr Duration growth_wait{6000};           // a learner known for so long may grow the set
-constexpr Duration bootstrap_duration{3000};    // so long after a founding, who was there at once is added at once...
-constexpr Duration first_arrival{300};          // ...if it was known this soon after it
-constexpr Duration response_window{800};        // a replica that answered within this lives: a bit more than two polls
-constexpr Duration dead_member_timeout{30000};  // a replica silent for so long may leave the set...
-constexpr Duration even_dead_member_timeout{
-    8000};                                   // ...sooner from a set of even size, where the majority gets smaller
+constexpr Duration request_interval{950};  // a learner is asked about once a second
+constexpr Duration learner_timeout{2200};  // one that has not answered for so long is none any more
+// A replica that nobody has heard for so long is replaced...
+constexpr Duration silence_timeout{2500};
+// ...and one that others hear, but that never answers the master, after this.
+constexpr Duration unreachable_timeout{10000};
+constexpr Duration report_lifetime{1200};  // what replicas report on who is silent counts for so long
+constexpr Duration growth_wait{6000};      // a learner known for so long may grow the set
+// So long after a bootstrap, a learner that was there soon after it is added at once.
+constexpr Duration bootstrap_duration{3000};
+constexpr Duration first_arrival{300};
+constexpr Duration response_window{800};  // a replica that answered within this is alive: a bit more than two polls
+// A replica silent for so long may leave the set, and sooner a set of even size, where the majority gets smaller.
+constexpr Duration dead_member_timeout{30000};
+constexpr Duration even_dead_member_timeout{8000};
 constexpr Duration replacement_pause{3000};  // between a change of the set and the next replacement
 constexpr Duration change_pause{10000};      // between a change of the set and any other that the master decides
-constexpr Duration search_span{300};         // who leaves waits so long for the answers of possible successors
-constexpr Duration longest_pause{1000};
+constexpr Duration search_duration{300};     // a daemon that stops waits so long for answers of possible successors
+constexpr Duration longest_pause{1000};      // between two timers: after a longer one silences are counted anew
 constexpr int most_overtaken = 2;
 
 bool is_same_set(const std::vector<AcceptorEntry>& a, const std::vector<AcceptorEntry>& b) {
@@ -42,64 +45,76 @@
   return false;
 }
 
+bool MembershipReconciler::is_request_due(const Address& address, TimePoint now) const {
+  bool is_replaced = is_leaving_ && !is_in_set(self_.address);
+  if (!proposer_.has_state() || is_in_set(address) || is_replaced)
+    return false;
+  auto requested = requested_at_.find(address);
+  return requested == requested_at_.end() || now - requested->second >= request_interval;
+}
+
 void MembershipReconciler::observe_daemons(const std::vector<DaemonEntry>& daemons, TimePoint now) {
   for (const auto& daemon : daemons) {
     zones_[daemon.address] = daemon.zone;
-    if (!proposer_.has_state() || is_in_set(daemon.address) || (is_leaving_ && !is_in_set(self_.address)))
+    if (!is_request_due(daemon.address, now))
       continue;
-    auto asked = asked_.find(daemon.address);
-    if (asked != asked_.end() && now - asked->second < request_interval)
-      continue;
-    asked_[daemon.address] = now;
-    out_.push_back({daemon.address, ReadRequest{ask_, "data", proposer_.ballot(), false, false}});
+    requested_at_[daemon.address] = now;
+    out_.push_back({daemon.address, ReadRequest{request_id_, "data", proposer_.ballot(), false, false}});
   }
 }
 
 void MembershipReconciler::on_message(const Address& from, const Message& message, TimePoint now) {
-  if (std::holds_alternative<LeaveNotice>(message))
-    learners_.erase(from);
-  if (const auto* accepted = std::get_if<Accepted>(&message))
-    on_accepted(from, *accepted);
-  const auto* response = std::get_if<ReadResponse>(&message);
-  if (response == nullptr || response->store.empty())
-    return;
-  answered_[from] = {response->store, response->accepted, now};
-  if (response->request_id != ask_ || is_in_set(from))
+  std::visit([&](const auto& content) { on(from, content, now); }, message);
+}
+
+void MembershipReconciler::on(const Address& from, const LeaveNotice&, TimePoint) { learners_.erase(from); }
+
+void MembershipReconciler::on(const Address& from, const ReadResponse& response, TimePoint now) {
+  if (response.store.empty())
     return;
-  Learner fresh{response->store, now, now, response->accepted, now, 0};
+  answered_[from] = {response.store, response.accepted, now};
+  if (response.request_id == request_id_ && !is_in_set(from))
+    observe_learner(from, response, now);
+}
+
+void MembershipReconciler::observe_learner(const Address& from, const ReadResponse& response, TimePoint now) {
+  Learner fresh;
+  fresh.store = response.store;
+  fresh.since = fresh.heard = fresh.joinable_at = now;
+  fresh.accepted = response.accepted;
   auto [entry, is_new] = learners_.insert({from, fresh});
   Learner& learner = entry->second;
-  if (learner.store != response->store)
+  if (learner.store != response.store)
     learner = fresh;
   learner.heard = now;
-  learner.accepted = response->accepted;
+  learner.accepted = response.accepted;
   sync_learner(from, learner);
 }
 
 // A learner that was a replica may have promised more than was chosen since: the next write gets past that.
-void MembershipReconciler::on_accepted(const Address& from, const Accepted& accepted) {
+void MembershipReconciler::on(const Address& from, const Accepted& accepted, TimePoint) {
   auto learner = learners_.find(from);
   if (learner != learners_.end() && learner->second.store == accepted.store && !accepted.granted)
     learner->second.is_refusing = true;
 }
 
-// Old data of this register is never above what is chosen now, or will be with the next write: it can't win
-// against it. Data that stays above is of another register, and is kept out.
+// A value of this register is never above what is chosen now, or will be with the next write: it can't win against it.
+// A value that stays above is of another register, and its store is kept out.
 bool MembershipReconciler::may_join(const Learner& learner) const { return !(proposer_.ballot() < learner.accepted); }
 
-// A learner is given each chosen value, under the ballot it was chosen with, as a read gives it to an old replica.
-// It has no vote: its store is not in the set, so no majority counts it.
+// A learner gets each chosen value, under the ballot that it was chosen with, as read repair gives it to a replica. It
+// has no vote: its store is not in the set, so no majority counts it.
 void MembershipReconciler::sync_learner(const Address& address, const Learner& learner) {
   bool is_due = right_.kind == DecisionRight::Kind::master && learner.accepted < proposer_.ballot();
   if (is_due)
     out_.push_back({address, Accept{0, learner.store, proposer_.ballot(), proposer_.state_bytes()}});
 }
 
-void MembershipReconciler::watch_set(TimePoint now) {
+void MembershipReconciler::observe_set(TimePoint now) {
   const FleetState& state = proposer_.state();
-  if (!is_same_set(watched_set_, state.acceptors)) {
-    bool is_first = watched_set_.empty();
-    watched_set_ = state.acceptors;
+  if (!is_same_set(observed_set_, state.acceptors)) {
+    bool is_first = observed_set_.empty();
+    observed_set_ = state.acceptors;
     if (!is_first)
       set_changed_at_ = now;
   }
@@ -118,13 +133,22 @@
   if (now - timer_at_ > longest_pause)
     awake_since_ = now;
   timer_at_ = now;
-  watch_set(now);
+  observe_set(now);
+  forget_silent_learners(now);
+  update_learners(now);
+  forget_old_requests(now);
+}
+
+void MembershipReconciler::forget_silent_learners(TimePoint now) {
   for (auto entry = learners_.begin(); entry != learners_.end();) {
-    if (now - entry->second.heard > learner_memory || is_in_set(entry->first))
+    if (now - entry->second.heard > learner_timeout || is_in_set(entry->first))
       entry = learners_.erase(entry);
     else
       ++entry;
   }
+}
+
+void MembershipReconciler::update_learners(TimePoint now) {
   for (auto& [address, learner] : learners_) {
     if (may_join(learner))
       learner.joinable_at = now;
@@ -133,9 +157,12 @@
       learner.overtaken = 0;
     }
   }
-  for (auto entry = asked_.begin(); entry != asked_.end();) {
+}
+
+void MembershipReconciler::forget_old_requests(TimePoint now) {
+  for (auto entry = requested_at_.begin(); entry != requested_at_.end();) {
     if (now - entry->second > dead_member_timeout)
-      entry = asked_.erase(entry);
+      entry = requested_at_.erase(entry);
     else
       ++entry;
   }
@@ -155,7 +182,7 @@
 // How long no replica of a majority has heard that daemon; zero while that is not known.
 Duration MembershipReconciler::reported_silence(const Address& address, TimePoint now) const {
   const auto& silences = proposer_.silences();
-  if (!silences || now - proposer_.silences_at() > report_age)
+  if (!silences || now - proposer_.silences_at() > report_lifetime)
     return Duration{0};
   auto watched = silences->find(Address{});
   if (watched == silences->end())
@@ -164,44 +191,52 @@
   return silence == silences->end() ? watched->second : std::min(watched->second, silence->second);
 }
 
-std::vector<MemberView> MembershipReconciler::members(TimePoint now) const {
-  const std::vector<AcceptorEntry>& set = proposer_.state().acceptors;
-  Duration long_dead = set.size() % 2 == 0 ? even_dead_member_timeout : dead_member_timeout;
-  // Who is cut off from its master alone sees that master as silent: it has no right to replace it.
+ZoneName MembershipReconciler::zone_of(const Address& address) const {
+  auto zone = zones_.find(address);
+  return zone == zones_.end() ? ZoneName{} : zone->second;
+}
+
+bool MembershipReconciler::has_answered_as(const AcceptorEntry& entry) const {
+  auto answered = answered_.find(entry.address);
+  return answered != answered_.end() && answered->second.store == entry.store;
+}
+
+MemberView MembershipReconciler::member_view(const AcceptorEntry& entry, TimePoint now) const {
+  bool is_even = proposer_.state().acceptors.size() % 2 == 0;
+  Duration long_dead_timeout = is_even ? even_dead_member_timeout : dead_member_timeout;
+  // A daemon that is cut off from its master alone sees that master as silent: it has no right to replace it.
   bool may_judge_alone = right_.kind == DecisionRight::Kind::master && now - set_changed_at_ >= change_pause;
+  Duration silent_here = silence(entry, now);
+  Duration silent = std::min(silent_here, reported_silence(entry.address, now));
+  MemberView view;
+  view.entry = entry;
+  view.zone = zone_of(entry.address);
+  view.is_answering = silent_here <= response_window && has_answered_as(entry);
+  view.is_dead = silent >= silence_timeout || (may_judge_alone && silent_here >= unreachable_timeout);
+  view.is_long_dead = silent >= silence_timeout && silent_here >= long_dead_timeout;
+  return view;
+}
+
+std::vector<MemberView> MembershipReconciler::members(TimePoint now) const {
   std::vector<MemberView> views;
-  for (const auto& entry : set) {
-    MemberView view;
-    view.entry = entry;
-    auto zone = zones_.find(entry.address);
-    if (zone != zones_.end())
-      view.zone = zone->second;
-    Duration silent_here = silence(entry, now), silent = std::min(silent_here, reported_silence(entry.address, now));
-    auto answered = answered_.find(entry.address);
-    view.is_answering =
-        silent_here <= response_window && answered != answered_.end() && answered->second.store == entry.store;
-    view.is_dead = silent >= silence_timeout || (may_judge_alone && silent_here >= unreachable_span);
-    view.is_long_dead = silent >= silence_timeout && silent_here >= long_dead;
-    views.push_back(view);
-  }
+  for (const auto& entry : proposer_.state().acceptors)
+    views.push_back(member_view(entry, now));
   return views;
 }
 
 std::vector<LearnerView> MembershipReconciler::learners(TimePoint now) const {
-  bool was_just_founded = now - bootstrapped_at_ <= bootstrap_duration;
+  bool was_just_bootstrapped = now - bootstrapped_at_ <= bootstrap_duration;
   std::vector<LearnerView> views;
   for (const auto& [address, learner] : learners_) {
     if (!may_join(learner) || learner.heard < awake_since_ ||
         holds(proposer_.state().acceptors, learner.store, address))
       continue;
+    bool was_there_at_bootstrap = was_just_bootstrapped && learner.since <= bootstrapped_at_ + first_arrival;
     LearnerView view;
     view.entry = AcceptorEntry{learner.store, address};
-    auto zone = zones_.find(address);
-    if (zone != zones_.end())
-      view.zone = zone->second;
+    view.zone = zone_of(address);
     view.is_synced = learner.accepted == proposer_.ballot();
-    view.is_awaited =
-        now - learner.since >= growth_wait || (was_just_founded && learner.since <= bootstrapped_at_ + first_arrival);
+    view.is_awaited = now - learner.since >= growth_wait || was_there_at_bootstrap;
     view.is_answering = now - learner.heard <= response_window;
     views.push_back(view);
   }
@@ -223,8 +258,8 @@
   return SetChange{std::move(change), planned.kind, planned.detail()};
 }
 
-// A write may get past the data of a learner that are above all that is chosen here, if they are this register's;
-// and past what it has promised.
+// A write may get past the value of a learner that is above all that is chosen here, if it is of this register; and
+// past what the learner has promised.
 std::optional<SetChange> MembershipReconciler::due_overtaking(TimePoint now) {
   for (auto& [address, learner] : learners_) {
     bool is_long_above =
@@ -244,25 +279,41 @@
 std::optional<MembershipChange> MembershipReconciler::plan(TimePoint now) const {
   std::vector<MemberView> members = this->members(now);
   std::vector<LearnerView> learners = this->learners(now);
-  std::optional<MembershipChange> planned;
-  if (is_leaving_) {
-    for (const auto& entry : proposer_.state().acceptors)
-      if (entry.address == self_.address)
-        planned = plan_hand_over(entry, members, learners, policy_);
-  } else if (right_.kind != DecisionRight::Kind::none) {
-    bool is_rested = now - set_changed_at_ >= change_pause || now - bootstrapped_at_ <= bootstrap_duration;
-    if (now - set_changed_at_ >= replacement_pause)
-      planned = plan_replacement(members, learners);
-    if (!planned && is_rested)
-      planned = plan_growth(members, learners, policy_);
-    if (!planned && is_rested)
-      planned = plan_drop(members);
-  }
+  std::optional<MembershipChange> planned =
+      is_leaving_ ? plan_own_hand_over(members, learners) : plan_by_right(members, learners, now);
   if (!planned || !is_borne_by_living(*planned, members, learners))
     return std::nullopt;
   return planned;
 }
 
+std::optional<MembershipChange> MembershipReconciler::plan_own_hand_over(
+    const std::vector<MemberView>& members, const std::vector<LearnerView>& learners) const {
+  std::optional<MembershipChange> planned;
+  for (const auto& entry : proposer_.state().acceptors)
+    if (entry.address == self_.address)
+      planned = plan_hand_over(entry, members, learners, policy_);
+  return planned;
+}
+
+// Replacement comes first, then growth, then the removal of members that are long dead.
+std::optional<MembershipChange> MembershipReconciler::plan_by_right(const std::vector<MemberView>& members,
+                                                                    const std::vector<LearnerView>& learners,
+                                                                    TimePoint now) const {
+  if (right_.kind == DecisionRight::Kind::none)
+    return std::nullopt;
+  Duration since_change = now - set_changed_at_;
+  bool was_just_bootstrapped = now - bootstrapped_at_ <= bootstrap_duration;
+  bool may_resize = since_change >= change_pause || was_just_bootstrapped;
+  std::optional<MembershipChange> planned;
+  if (since_change >= replacement_pause)
+    planned = plan_replacement(members, learners);
+  if (!planned && may_resize)
+    planned = plan_growth(members, learners, policy_);
+  if (!planned && may_resize)
+    planned = plan_drop(members);
+  return planned;
+}
+
 std::optional<SetChange> MembershipReconciler::due_change(TimePoint now) {
   bool is_state_confirmed = proposer_.has_state() && now - proposer_.confirmed_at() <= silence_timeout;
   if (!is_state_confirmed || !proposer_.state().next_acceptors.empty())
@@ -291,28 +342,28 @@
 void MembershipReconciler::begin_leaving(TimePoint now) {
   is_leaving_ = true;
   leaving_since_ = now;
-  asked_.clear();
+  requested_at_.clear();
+}
+
+bool MembershipReconciler::is_successor_unsynced(const AcceptorEntry& entry) const {
+  if (std::find(successors_.begin(), successors_.end(), entry.store) == successors_.end())
+    return false;
+  bool is_synced = has_answered_as(entry) && !(answered_.at(entry.address).accepted < proposer_.ballot());
+  return !is_synced;
 }
 
 bool MembershipReconciler::is_handing_over(TimePoint now) const {
   if (!proposer_.has_state())
     return false;
-  if (is_in_set(self_.address)) {
-    bool is_under_way = !proposer_.state().next_acceptors.empty();
-    bool is_asking = !asked_.empty() && now - leaving_since_ <= search_span;
-    return is_under_way || is_asking || plan(now).has_value() || !learners(now).empty();
-  }
-  if (!proposer_.state().next_acceptors.empty())
+  const FleetState& state = proposer_.state();
+  if (!state.next_acceptors.empty())
     return true;
-  for (const auto& entry : proposer_.state().acceptors) {
-    auto answered = answered_.find(entry.address);
-    bool is_successor = std::find(successors_.begin(), successors_.end(), entry.store) != successors_.end();
-    bool is_synced = answered != answered_.end() && answered->second.store == entry.store &&
-                     !(answered->second.accepted < proposer_.ballot());
-    if (is_successor && !is_synced)
-      return true;
+  if (is_in_set(self_.address)) {
+    bool is_searching = !requested_at_.empty() && now - leaving_since_ <= search_duration;
+    return is_searching || plan(now).has_value() || !learners(now).empty();
   }
-  return false;
+  return std::any_of(state.acceptors.begin(), state.acceptors.end(),
+                     [&](const auto& entry) { return is_successor_unsynced(entry); });
 }
 
 }  // namespace emberdale
--- a/packages/control-plane/src/runner_health_monitor.cpp
+++ b/packages/control-plane/src/runner_health_monitor.cpp
@@ -5,25 +5,28 @@
 
 namespace emberdale {
 
+bool RunnerHealthMonitor::is_owner(const PoolName& pool, const std::vector<std::string>& live_edges) const {
+  auto ranked = rendezvous_rank("home:" + pool_topic(pool), live_edges);
+  return !ranked.empty() && ranked.front() == self_.address.text;
+}
+
 void RunnerHealthMonitor::schedule_probes(const Configuration& configuration,
                                           const std::vector<std::string>& live_edges, bool is_master, TimePoint now) {
-  std::map<PoolName, bool> homes;
+  std::map<PoolName, bool> owned;  // ranked once for each pool
   for (const auto& runner : configuration.runners) {
     bool is_mine = false;
     if (runner.zone == self_.zone) {
-      auto [entry, is_new] = homes.insert({runner.pool, false});
-      if (is_new) {
-        auto ranked = rendezvous_rank("home:" + pool_topic(runner.pool), live_edges);
-        entry->second = !ranked.empty() && ranked.front() == self_.address.text;
-      }
+      auto [entry, is_new] = owned.insert({runner.pool, false});
+      if (is_new)
+        entry->second = is_owner(runner.pool, live_edges);
       is_mine = entry->second;
     }
     if (!is_mine && is_master)
       is_mine = now - known_[runner.name].at > status_lifetime;
-    TimePoint& next = next_[runner.name];
+    TimePoint& next = probe_next_[runner.name];
     if (!is_mine || now < next)
       continue;
-    next = now + probe_pace_;
+    next = now + probe_interval_;
     ++probes_made_;
     probes_.push_back({runner.name, runner.http, runner.pool});
   }
--- a/packages/control-plane/src/runner_list.cpp
+++ b/packages/control-plane/src/runner_list.cpp
@@ -3,10 +3,15 @@
 #include <algorithm>
 
 namespace emberdale {
+namespace {
+constexpr Duration read_timeout{3000};
+constexpr int empty_lists_believed = 3;
+constexpr std::int64_t default_slots = 8;
+}  // namespace
 
 void RunnerList::begin(TimePoint now) {
   runners_.clear();
-  taken_back_.clear();
+  restored_zones_.clear();
   is_known_ = is_reading_ = false;
   empty_lists_ = 0;
   read_next_ = now;
@@ -16,37 +21,41 @@
   if (now < read_next_ || (is_reading_ && now < read_until_))
     return false;
   is_reading_ = true;
-  read_next_ = now + read_pace;
-  read_until_ = now + Duration{3000};  // a reading that never ends is begun anew
+  read_next_ = now + read_interval;
+  read_until_ = now + read_timeout;
   return true;
 }
 
+RunnerList::Listed RunnerList::listed(ListedRunner runner, TimePoint begun, TimePoint now) const {
+  Listed listed;
+  auto known = runners_.find(runner.name);
+  if (known != runners_.end())
+    listed = known->second;
+  else
+    listed.listed = now;
+  TimePoint warming_up_until = runner.warmup_left.value > 0 ? begun + runner.warmup_left : TimePoint{0};
+  listed.warming_up_until = std::max(listed.warming_up_until, warming_up_until);
+  listed.runner = std::move(runner);
+  return listed;
+}
+
 void RunnerList::take(std::vector<ListedRunner> runners, TimePoint begun, TimePoint now) {
   is_reading_ = false;
-  if (runners.empty() && !runners_.empty() && ++empty_lists_ < 3)
+  if (runners.empty() && !runners_.empty() && ++empty_lists_ < empty_lists_believed)
     return;
   empty_lists_ = 0;
   std::map<RunnerName, Listed> next;
   for (auto& runner : runners) {
     if (runner.name.empty() || runner.http.empty())
       continue;
-    Listed listed;
-    auto known = runners_.find(runner.name);
-    if (known != runners_.end())
-      listed = known->second;
-    else
-      listed.listed = now;
-    TimePoint warming_up_until = runner.warmup_left.value > 0 ? begun + runner.warmup_left : TimePoint{0};
-    listed.warming_up_until = std::max(listed.warming_up_until, warming_up_until);
-    listed.runner = std::move(runner);
-    RunnerName name = listed.runner.name;
-    next[name] = std::move(listed);
+    RunnerName name = runner.name;
+    next[name] = listed(std::move(runner), begun, now);
   }
   runners_ = std::move(next);
   is_known_ = true;
-  for (auto entry = taken_back_.begin(); entry != taken_back_.end();) {
-    if (entry->second + lag_allowed <= begun)
-      entry = taken_back_.erase(entry);
+  for (auto entry = restored_zones_.begin(); entry != restored_zones_.end();) {
+    if (entry->second + longest_lag <= begun)
+      entry = restored_zones_.erase(entry);
     else
       ++entry;
   }
@@ -67,23 +76,28 @@
   return entries;
 }
 
+RunnerStatus RunnerList::status_of(const Listed& listed, const RunnerStatus* probed, double warmup_requests_per_s,
+                                   TimePoint now) const {
+  bool is_reported_warming_up = probed != nullptr && probed->is_warming_up;
+  bool is_zone_restored = restored_zones_.count(listed.runner.zone) != 0;
+  bool may_be_cold = is_reported_warming_up || is_zone_restored || now < listed.warming_up_until;
+  RunnerStatus status;
+  status.name = listed.runner.name;
+  status.is_reachable = probed == nullptr || probed->is_reachable;  // listed, and no probe has failed
+  status.is_warming_up = warmup_requests_per_s > 0 && may_be_cold;
+  status.capacity = listed.runner.slots > 0 ? listed.runner.slots : default_slots;
+  status.allowance = static_cast<std::int64_t>(warmup_requests_per_s);
+  return status;
+}
+
 void RunnerList::fill(std::map<RunnerName, RunnerStatus>& statuses, const std::map<PoolName, RoutePool>& pools,
                       TimePoint now) const {
   for (const auto& [name, listed] : runners_) {
-    auto known = statuses.find(name);
-    RunnerStatus status;
-    status.name = name;
-    status.is_reachable =
-        known == statuses.end() || known->second.is_reachable;  // listed, and nothing speaks against it
+    auto probed = statuses.find(name);
     auto pool = pools.find(listed.runner.pool);
     double warmup_requests_per_s = pool == pools.end() ? 0 : pool->second.warmup_requests_per_s;
-    bool is_reported_warming_up = known != statuses.end() && known->second.is_warming_up;
-    bool is_suspect = taken_back_.count(listed.runner.zone) != 0;
-    status.is_warming_up =
-        warmup_requests_per_s > 0 && (is_reported_warming_up || is_suspect || now < listed.warming_up_until);
-    status.capacity = listed.runner.slots > 0 ? listed.runner.slots : 8;
-    status.allowance = static_cast<std::int64_t>(warmup_requests_per_s);
-    statuses[name] = status;
+    statuses[name] =
+        status_of(listed, probed == statuses.end() ? nullptr : &probed->second, warmup_requests_per_s, now);
   }
 }
 
--- a/packages/control-plane/tests/catch_up_test.cpp
+++ b/packages/control-plane/tests/catch_up_test.cpp
@@ -4,6 +4,7 @@
 
 #include <iostream>
 
+#include "emberdale/routing_table_edits.hpp"
 #include "support/machine_fleet.hpp"
 
 using namespace emberdale;
--- a/packages/control-plane/tests/master_edits_test.cpp
+++ b/packages/control-plane/tests/master_edits_test.cpp
@@ -112,11 +112,11 @@
 
 TEST(OrderIdentity, AnOrderOfAnEarlierVersionIsKnownByItsIdAlone) {
   EditRequest request = order("id", "z1");
-  EXPECT_EQ(find_completed_change({}, request).memory, IdempotencyStatus::not_done);
-  EXPECT_EQ(find_completed_change({{"id", 5, 6, {}}}, request).memory, IdempotencyStatus::done);
+  EXPECT_EQ(find_completed_change({}, request).status, IdempotencyStatus::not_done);
+  EXPECT_EQ(find_completed_change({{"id", 5, 6, {}}}, request).status, IdempotencyStatus::done);
   EXPECT_EQ(find_completed_change({{"id", 5, 6, {}}}, request).version, 5);
-  EXPECT_EQ(find_completed_change({{"id", 5, 6, change_digest(request)}}, request).memory, IdempotencyStatus::done);
-  EXPECT_EQ(find_completed_change({{"id", 5, 6, change_digest(order("id", "z2"))}}, request).memory,
+  EXPECT_EQ(find_completed_change({{"id", 5, 6, change_digest(request)}}, request).status, IdempotencyStatus::done);
+  EXPECT_EQ(find_completed_change({{"id", 5, 6, change_digest(order("id", "z2"))}}, request).status,
             IdempotencyStatus::conflicting_id);
 }
 
--- a/packages/control-plane/tests/runner_list_test.cpp
+++ b/packages/control-plane/tests/runner_list_test.cpp
@@ -124,7 +124,7 @@
   EXPECT_TRUE(is_warming_up(list, "r1", after(100)));
   EXPECT_FALSE(is_warming_up(list, "r2", after(100)));
   // A reading that began too early may still tell of before, whenever it ends.
-  TimePoint caught_up = after(100) + RunnerList::lag_allowed;
+  TimePoint caught_up = after(100) + RunnerList::longest_lag;
   list.take({listed("r1", "a"), listed("r2", "b")}, TimePoint{caught_up.value - 1}, after(5000));
   EXPECT_TRUE(is_warming_up(list, "r1", after(5000)));
   list.take({listed("r1", "a", 2000), listed("r2", "b")}, caught_up, after(5100));
@@ -154,14 +154,14 @@
   RunnerList list = begun();
   ASSERT_TRUE(list.is_read_due(start));
   list.take({listed("r1")}, start, after(100));
-  EXPECT_FALSE(list.is_read_due(TimePoint{(start + RunnerList::read_pace).value - 1}));
-  ASSERT_TRUE(list.is_read_due(start + RunnerList::read_pace));
+  EXPECT_FALSE(list.is_read_due(TimePoint{(start + RunnerList::read_interval).value - 1}));
+  ASSERT_TRUE(list.is_read_due(start + RunnerList::read_interval));
   list.failed();
   EXPECT_TRUE(list.is_known());
   EXPECT_EQ(list.entries().size(), 1u);
-  TimePoint failed_at = start + RunnerList::read_pace;
+  TimePoint failed_at = start + RunnerList::read_interval;
   EXPECT_FALSE(list.is_read_due(failed_at));  // not at once: the list's calls are counted
-  EXPECT_TRUE(list.is_read_due(failed_at + RunnerList::read_pace));
+  EXPECT_TRUE(list.is_read_due(failed_at + RunnerList::read_interval));
 }
 
 TEST(RunnerList, AReadingThatNeverEndsIsBegunAnew) {
--- a/packages/control-plane/tests/stale_daemon_test.cpp
+++ b/packages/control-plane/tests/stale_daemon_test.cpp
@@ -229,7 +229,7 @@
       std::function<void()> read_lists = [&] {
         for (const auto& name : fleet.running())
           fleet.act(name, [&](ControlDaemon& daemon, TimePoint now) {
-            if (!daemon.takes_list(now))
+            if (!daemon.begin_list_read(now))
               return;
             readings[name].push_back(fleet.now());
             daemon.on_runner_list(std::vector<ListedRunner>{}, now, now);
@@ -289,7 +289,7 @@
   std::set<std::string> named_by(const std::string& machine, const std::string& zone) {
     std::set<std::string> named;
     fleet_.act(machine, [&](ControlDaemon& daemon, TimePoint now) {
-      for (const auto& http : daemon.front_addresses(RegionName{"north"}, ZoneName{zone}, 64, now))
+      for (const auto& http : daemon.gateway_addresses(RegionName{"north"}, ZoneName{zone}, 64, now))
         named.insert(http);
     });
     return named;
--- a/packages/control-plane/tests/support/machine_fleet.hpp
+++ b/packages/control-plane/tests/support/machine_fleet.hpp
@@ -164,7 +164,7 @@
       Machine& ending = at(name);
       if (!ending.is_up || ending.incarnation != incarnation)
         return;
-      ending.control->answer_all(clock(ending));
+      ending.control->end_all_requests(clock(ending));
       flush(ending);
       kill(name);
     });
--- a/packages/fleet-simulator/src/simulated_operators.cpp
+++ b/packages/fleet-simulator/src/simulated_operators.cpp
@@ -101,10 +101,10 @@
   }
   target.control->replace_core(
       node(old_name).address, node(new_name).address,
-      [outcome](int code, const std::string& reason) {
+      [outcome](const ReplicaSetOutcome& replaced) {
         outcome->is_over = true;
-        outcome->code = code;
-        outcome->body = reason;
+        outcome->code = static_cast<int>(wire_code(replaced.status));
+        outcome->body = replaced.reason;
       },
       clock(target));
   flush(target);
@@ -176,9 +176,9 @@
   run(Duration{500});
   Node& first = node("a0");
   int code = 0;
-  first.control->found(
+  first.control->bootstrap(
       "simulated", {node("a0").address, node("b0").address, node("c0").address},
-      [&](int answer, const std::string&) { code = answer; }, clock(first));
+      [&](const ReplicaSetOutcome& outcome) { code = static_cast<int>(wire_code(outcome.status)); }, clock(first));
   flush(first);
   if (!run_until([&] { return code != 0; }, Duration{5000}) || code != 201)
     return false;
--- a/packages/fleet-simulator/tests/fleet_simulator_test.cpp
+++ b/packages/fleet-simulator/tests/fleet_simulator_test.cpp
@@ -241,9 +241,10 @@
   fleet->wipe("a0");
   fleet->start("a0");
   int code = 0;
-  fleet->control("a0")->found(
+  fleet->control("a0")->bootstrap(
       "another", {fleet->address("a0"), fleet->address("b0"), fleet->address("c0")},
-      [&](int answer, const std::string&) { code = answer; }, fleet->moment("a0"));
+      [&](const ReplicaSetOutcome& outcome) { code = static_cast<int>(wire_code(outcome.status)); },
+      fleet->moment("a0"));
   fleet->run_until([&] { return code != 0; }, Duration{6000});
   EXPECT_EQ(code, 409);
 }
@@ -279,7 +280,7 @@
       for (int i = 0; i < 3; ++i) {
         std::string fresh = fleet->add_edge(zone);
         if (guard == Guard::wait_out)
-          fleet->control(fresh)->take_ack_wait_out();
+          fleet->control(fresh)->disable_acknowledgement_wait();
         fleet->control(fresh)->is_promise_off = guard == Guard::promise_out;
         for (const auto& name : old_edges)
           fleet->cut_both(fresh, name);
