--- a/packages/control-plane/include/emberdale/control_daemon.hpp
+++ b/packages/control-plane/include/emberdale/control_daemon.hpp
@@ -41,7 +41,7 @@
 namespace emberdale {
 
 struct ControlDaemonSettings {
-  DaemonEntry self;  // role "core" or "edge"
+  DaemonEntry self;  // role DaemonRole::core or DaemonRole::edge
   std::vector<Address> seeds;
   std::uint64_t random_seed = 1;
   ElectionTimes election;
@@ -182,7 +182,7 @@
   void record(TimePoint now, const std::string& kind, const std::string& detail) { journal_.append(now, kind, detail); }
 
   // --- control_membership.cpp: the register's state, roster, replicas and terms -------------------
-  bool is_edge() const { return settings_.self.role == "edge"; }
+  bool is_edge() const { return settings_.self.role == DaemonRole::edge; }
   bool is_leaderless() const { return settings_.reconciles_membership && election_.master().empty(); }
   // Whether this daemon's store is in the set of replicas, or in the set that follows.
   bool is_replica() const;
@@ -215,7 +215,7 @@
   // Service discovery bears few requests a second from all daemons together: a master that may have been deposed sends
   // none.
   bool may_read_list(TimePoint now) const {
-    return election_.is_master() && now - election_.quorum_confirmed(now) <= list_quorum_age;
+    return election_.is_master() && now - election_.quorum_confirmed_at(now) <= list_quorum_age;
   }
 
   // --- control_operators.cpp: changes, reads and views --------------------------------------------
--- a/packages/control-plane/include/emberdale/edit_batch.hpp
+++ b/packages/control-plane/include/emberdale/edit_batch.hpp
@@ -8,10 +8,6 @@
 
 namespace emberdale {
 
-// As "put", but a resource that has that body already keeps its version and needs no write: for clients that send a
-// change again because they got no response in time. On a slow disk a write takes longer than they wait.
-inline constexpr const char* ensure_act = "ensure";
-
 struct WorkedOutEdit {
   EditRequest request;
   EditResult result;  // of this change alone; without the resources, which are in the state
--- a/packages/control-plane/include/emberdale/peer_table.hpp
+++ b/packages/control-plane/include/emberdale/peer_table.hpp
@@ -14,13 +14,13 @@
 
 // One daemon as it is known here.
 struct Peer {
-  DaemonEntry entry;         // the role is empty while only the address is known
+  DaemonEntry entry;         // the role is unspecified while only the address is known
   TimePoint heard{-100000};  // its last ping or answer to one; far in the past: never
   Address master;            // whom it followed then; empty: nobody
 
-  bool is_identified() const { return !entry.role.empty(); }
-  bool is_edge() const { return entry.role == "edge"; }
-  bool is_data_daemon() const { return entry.role == "data"; }
+  bool is_identified() const { return entry.role != DaemonRole::unspecified; }
+  bool is_edge() const { return entry.role == DaemonRole::edge; }
+  bool is_data_daemon() const { return entry.role == DaemonRole::data; }
   bool was_heard_within(Duration timeout, TimePoint now) const { return now - heard <= timeout; }
 };
 
--- a/packages/control-plane/include/emberdale/replica_set_manager.hpp
+++ b/packages/control-plane/include/emberdale/replica_set_manager.hpp
@@ -27,11 +27,11 @@
 
 class ReplicaSetManager {
  public:
-  ReplicaSetManager(RegisterProposer& proposer, EventJournal& journal, std::string role, bool has_acceptor,
+  ReplicaSetManager(RegisterProposer& proposer, EventJournal& journal, DaemonRole role, bool has_acceptor,
                     RandomGenerator random)
       : proposer_(proposer),
         journal_(journal),
-        role_(std::move(role)),
+        role_(role),
         has_acceptor_(has_acceptor),
         random_(random),
         last_request_id_(first_request_id(random_)) {}
@@ -98,7 +98,7 @@
 
   RegisterProposer& proposer_;
   EventJournal& journal_;
-  std::string role_;
+  DaemonRole role_;
   bool has_acceptor_;
   MembershipReconciler* reconciler_ = nullptr;  // of the same daemon, so it lives as long; nullptr: operators decide
   RandomGenerator random_;
--- a/packages/control-plane/src/cluster_bootstrapper.cpp
+++ b/packages/control-plane/src/cluster_bootstrapper.cpp
@@ -101,7 +101,7 @@
 
 void ClusterBootstrapper::send_read_requests() {
   for (const auto& seed : seeds_)
-    out_.push_back({seed, ReadRequest{request_id_, "data", Ballot{}, false, false}});
+    out_.push_back({seed, ReadRequest{request_id_, DaemonRole::data, Ballot{}, false, false}});
 }
 
 void ClusterBootstrapper::on_timer(TimePoint now) {
--- a/packages/control-plane/src/control_daemon.cpp
+++ b/packages/control-plane/src/control_daemon.cpp
@@ -54,7 +54,7 @@
   membership_registry_.start(now);
   if (is_edge()) {
     for (const auto& seed : settings_.seeds)
-      election_.learn(seed);
+      election_.add_peer(seed);
     election_.start(now);
   }
   on_timer(now);
@@ -143,7 +143,7 @@
   if (is_edge() && heartbeat_next_ <= now)
     send_heartbeat(now);
   update_master_contact(now);
-  slices_.forget_silent(now, subscriber_retention);
+  slices_.remove_silent_subscribers(now, subscriber_retention);
   if (is_edge())
     runner_health_monitor_.schedule_probes(placed_configuration(), live_edges(settings_.self.zone, now),
                                            election_.is_master(), now);
@@ -164,7 +164,7 @@
 }
 
 void ControlDaemon::run_master_duties(TimePoint now) {
-  for (const auto& status : slices_.in_force(now))
+  for (const auto& status : slices_.subscriber_statuses(now))
     daemon_statuses_.record(status, now);
   daemon_statuses_.expire(now);
   edits_.on_timer(now);
--- a/packages/control-plane/src/control_documents.cpp
+++ b/packages/control-plane/src/control_documents.cpp
@@ -17,7 +17,7 @@
 Json daemon_document(const DaemonEntry& entry) {
   return {{"address", entry.address.text},
           {"http", entry.http_address},
-          {"role", entry.role},
+          {"role", to_string(entry.role)},
           {"zone", entry.zone.text},
           {"region", entry.region.text}};
 }
@@ -108,7 +108,7 @@
   for (const auto& grant : row.warmup_grants)
     grants[grant.daemon.text] = grant.requests;
   return {{"name", row.name.text},          {"address", row.http_address}, {"pool", row.pool.text},
-          {"zone", row.zone.text},          {"region", row.region.text},   {"status", row.status},
+          {"zone", row.zone.text},          {"region", row.region.text},   {"status", to_string(row.state)},
           {"incarnation", row.incarnation}, {"capacity", row.capacity},    {"burden", row.load},
           {"cold_grants", grants}};
 }
@@ -216,7 +216,7 @@
                                                {"register_value_bytes", reg.value_bytes},
                                                {"register_refused_messages", refused_messages},
                                                {"election_rounds", election.rounds},
-                                               {"election_starved_rounds", election.starved},
+                                               {"election_starved_rounds", election.without_quorum},
                                                {"election_joins_failed", election.joins_failed},
                                                {"election_won", election.elected},
                                                {"election_stepped_down", election.stepped_down},
--- a/packages/control-plane/src/control_interface.cpp
+++ b/packages/control-plane/src/control_interface.cpp
@@ -44,13 +44,13 @@
   return query.count("watch") != 0 && query["watch"] == "true";
 }
 
-// Empty for a method that changes nothing.
-std::string action_of(const web::http::method& method) {
+// Unspecified for a method that changes nothing.
+EditAction action_of(const web::http::method& method) {
   if (method == methods::PUT)
-    return "put";
+    return EditAction::put;
   if (method == methods::PATCH)
-    return "patch";
-  return method == methods::DEL ? "delete" : "";
+    return EditAction::patch;
+  return method == methods::DEL ? EditAction::remove : EditAction::unspecified;
 }
 
 bool is_number(const std::string& text) {
@@ -206,7 +206,7 @@
                          R"(the body must be {"fleet": NAME, "cores": [IP:PORT, ...]})");
   std::vector<Address> cores;
   for (const auto& core : document["cores"]) {
-    if (!core.is_string() || !split_address(core.get<std::string>()))
+    if (!core.is_string() || !parse_socket_address(core.get<std::string>()).ok())
       return reply_refusal(call.request, status_codes::BadRequest, "a core address must be IP:PORT");
     cores.push_back({core.get<std::string>()});
   }
@@ -219,7 +219,7 @@
 void ControlInterface::handle_replace_core(const Call& call) {
   Json document = Json::parse(call.body, nullptr, false);
   bool is_well_formed = document.is_object() && is_string(document, "old") && is_string(document, "new") &&
-                        split_address(document["new"].get<std::string>());
+                        parse_socket_address(document["new"].get<std::string>()).ok();
   if (!is_well_formed)
     return reply_refusal(call.request, status_codes::BadRequest,
                          R"(the body must be {"old": IP:PORT, "new": IP:PORT})");
@@ -252,7 +252,7 @@
 void ControlInterface::handle_resource_change(const Call& call, const ResourceSelector& selector) {
   EditRequest edit_request;
   edit_request.action = action_of(call.request.method());
-  if (edit_request.action.empty() || !selector.selects_one())
+  if (edit_request.action == EditAction::unspecified || !selector.selects_one())
     return reply_refusal(call.request, status_codes::MethodNotAllowed,
                          "GET, PUT, PATCH or DELETE of one resource, or GET of a list");
   auto version = expected_version(call.request.headers());
--- a/packages/control-plane/src/control_maps.cpp
+++ b/packages/control-plane/src/control_maps.cpp
@@ -115,7 +115,7 @@
                                  live_followers(now), version, warmup_share);
   map.routing_table_revision = routing_table_.revision();
   for (const auto& row : map.runners)
-    if (row.status == "warm")
+    if (row.state == RunnerState::warm)
       warmup_shares_.forget(row.name);
   return map;
 }
@@ -172,16 +172,16 @@
 void ControlDaemon::send_heartbeat(TimePoint now) {
   if (election_.phase() != MasterElection::Phase::following)
     return;
-  heartbeat_next_ = now + settings_.election.follow;
+  heartbeat_next_ = now + settings_.election.heartbeat_interval;
   Heartbeat heartbeat;
   heartbeat.sender = settings_.self;
   heartbeat.term = election_.term();
-  heartbeat.acknowledged_timestamp = election_.acknowledgement(now);
+  heartbeat.acknowledged_timestamp = election_.acknowledged_timestamp(now);
   heartbeat.version = map_.version;
   heartbeat.routing_table_revision = map_.routing_table_revision;
   heartbeat.runner_statuses = runner_health_monitor_.reports(now);
-  heartbeat.daemon_statuses = slices_.in_force(now);
-  heartbeat.master_timestamp = election_.master_stamp();
+  heartbeat.daemon_statuses = slices_.subscriber_statuses(now);
+  heartbeat.master_timestamp = election_.master_timestamp();
   heartbeat.sent_at = now.value;
   out_.push_back({election_.master(), std::move(heartbeat)});
 }
@@ -205,7 +205,7 @@
     entry.pool = row.pool;
     entry.zone = row.zone;
     entry.region = row.region;
-    entry.is_leaving = row.status == "leaving";
+    entry.is_leaving = row.state == RunnerState::draining;
     runners.push_back(std::move(entry));
   }
   return runners;
@@ -237,7 +237,7 @@
 std::vector<std::string> ControlDaemon::gateway_addresses(const RegionName& region, const ZoneName& zone,
                                                           std::size_t limit, TimePoint now) {
   detect_pause(now);
-  GatewayKnowledge knowledge{map_, peers_, slices_.in_force(now), slices_.master_heard()};
+  GatewayKnowledge knowledge{map_, peers_, slices_.subscriber_statuses(now), slices_.master_heard_at()};
   return gateway_directory_.addresses(knowledge, region, zone, limit, random_, now);
 }
 
--- a/packages/control-plane/src/control_membership.cpp
+++ b/packages/control-plane/src/control_membership.cpp
@@ -142,7 +142,7 @@
                    [this, now](const ChangeEnd& end) {
                      is_claiming_ = false;
                      bool is_won = end.kind == ChangeEnd::Kind::committed;
-                     election_.claim_ended(is_won, is_won ? end.state.term : 0, now);
+                     election_.on_claim_result(is_won, is_won ? end.state.term : 0, now);
                    },
                    now, claim_timeout);
 }
@@ -151,7 +151,7 @@
   lease_.begin(now);
   edits_.begin();
   record(now, "master", "term " + std::to_string(election_.term()));
-  warmup_shares_.begin(map_, election_.term() > 1, now);
+  warmup_shares_.begin_term(map_, election_.term() > 1, now);
   daemon_statuses_.clear();
   followers_.clear();
   runner_health_monitor_.inherit(map_, now);
@@ -162,7 +162,7 @@
 void ControlDaemon::on_refused(const Address& peer, TimePoint now) {
   reconciler_.on_refused(peer);
   if (is_edge())
-    election_.refused(peer, now);
+    election_.on_connection_refused(peer, now);
   peers_.on_refused(peer, now);
   collect_outbound(now);
 }
--- a/packages/control-plane/src/control_messages.cpp
+++ b/packages/control-plane/src/control_messages.cpp
@@ -49,7 +49,7 @@
 }
 
 void ControlDaemon::learn_from(const Address& from, const PingRequest& ping, TimePoint now) {
-  bool is_control_daemon = !ping.sender.role.empty() && ping.sender.role != "data";
+  bool is_control_daemon = ping.sender.role != DaemonRole::unspecified && ping.sender.role != DaemonRole::data;
   if (is_control_daemon)
     peers_.observe(from, ping.sender, ping.master, now);
   // A daemon that stops must not be ranked in an election; one that hands its place over still leads or follows.
@@ -199,15 +199,15 @@
     resume_.wait_for(proposer_.last_read(), now);
     record(now, "resumed", "after " + std::to_string(pause->value) + " ms");
   }
-  slices_.set_held(is_resuming(now));
+  slices_.set_paused(is_resuming(now));
 }
 
 // Tells the subscribers' side when a quorum last surely followed the master whose map this is.
 void ControlDaemon::update_master_contact(TimePoint now) {
   if (!election_.is_master())
-    slices_.hear_master(election_.master_confirmed());
+    slices_.note_master_heard(election_.master_confirmed_at());
   else if (map_.version.term == election_.term())
-    slices_.hear_master(election_.quorum_confirmed(now));
+    slices_.note_master_heard(election_.quorum_confirmed_at(now));
 }
 
 void ControlDaemon::synced(std::int64_t token, TimePoint now) {
--- a/packages/control-plane/src/control_process.cpp
+++ b/packages/control-plane/src/control_process.cpp
@@ -32,7 +32,10 @@
     LOG(INFO) << event.kind << ": " << event.detail;
   };
   connect_peers();
-  return connections_->listen();
+  absl::Status listening = connections_->listen();
+  if (!listening.ok())
+    return failure(std::string(listening.message()));
+  return true;
 }
 
 Outcome<std::unique_ptr<RegisterAcceptor>> ControlProcess::open_replica() {
--- a/packages/control-plane/src/edit_batch.cpp
+++ b/packages/control-plane/src/edit_batch.cpp
@@ -42,7 +42,7 @@
 }
 
 Step ensure(const FleetState& state, EditRequest request) {
-  request.action = "put";
+  request.action = EditAction::put;
   Step step;
   step.result = apply_edit(state, request, state.config_revision + 1);
   step.is_applied = is_accepted(step.result);
@@ -59,7 +59,7 @@
     return refused(ChangeStatus::conflict, conflicting_id_reason);
   if (!is_leader)
     return refused(ChangeStatus::unavailable, "this daemon is master no more");
-  if (request.action == ensure_act)
+  if (request.action == EditAction::ensure)
     return ensure(state, request);
   Step step;
   if (request.kind == routing_table_kind) {
--- a/packages/control-plane/src/forwarded_block.cpp
+++ b/packages/control-plane/src/forwarded_block.cpp
@@ -24,7 +24,7 @@
 
 ForwardedBlock block_of(const EditRequest& request, std::int64_t version, TimePoint now) {
   bool may_take_work_away = request.kind == runners_kind || request.kind == orders_kind;
-  if (request.action == "delete" || !may_take_work_away)
+  if (request.action == EditAction::remove || !may_take_work_away)
     return {};
   Json body = Json::parse(request.body, nullptr, false);
   if (!body.is_object())
--- a/packages/control-plane/src/main.cpp
+++ b/packages/control-plane/src/main.cpp
@@ -77,7 +77,7 @@
     if (!listens)
       return refuse(listens.reason);
     process_.start();
-    LOG(INFO) << "serving as " << settings_.self.role << " " << settings_.self.address << ", http "
+    LOG(INFO) << "serving as " << to_string(settings_.self.role) << " " << settings_.self.address << ", http "
               << settings_.self.http_address;
     int signal = wait_for_stop();
     LOG(INFO) << "stopping on signal " << signal;
@@ -154,8 +154,8 @@
   auto arguments = docopt::docopt(usage, {argv + 1, argv + argc}, true, "emberdale-control-plane 0.1");
   std::vector<std::string> findings;
   bool is_core = arguments["--data-folder"].isString();
-  ProgramSettings settings = read_settings(arguments, "edge", findings);
-  settings.self.role = is_core || !settings.data_folder.empty() ? "core" : "edge";
+  ProgramSettings settings = read_settings(arguments, DaemonRole::edge, findings);
+  settings.self.role = is_core || !settings.data_folder.empty() ? DaemonRole::core : DaemonRole::edge;
   if (!findings.empty()) {
     for (const auto& finding : findings)
       std::cerr << "emberdale-control-plane: " << finding << "\n";
--- a/packages/control-plane/src/membership_reconciler.cpp
+++ b/packages/control-plane/src/membership_reconciler.cpp
@@ -59,7 +59,7 @@
     if (!is_request_due(daemon.address, now))
       continue;
     requested_at_[daemon.address] = now;
-    out_.push_back({daemon.address, ReadRequest{request_id_, "data", proposer_.ballot(), false, false}});
+    out_.push_back({daemon.address, ReadRequest{request_id_, DaemonRole::data, proposer_.ballot(), false, false}});
   }
 }
 
--- a/packages/control-plane/src/window_scheduler.cpp
+++ b/packages/control-plane/src/window_scheduler.cpp
@@ -9,7 +9,7 @@
                                std::int64_t wall_seconds) {
   EditRequest request;
   request.change_id = "window-" + zone.text + "-" + std::to_string(state_version) + "-" + std::to_string(wall_seconds);
-  request.action = "patch";
+  request.action = EditAction::patch;
   request.kind = orders_kind;
   request.name = zone.text;
   request.expected_version = any_version;
