--- a/packages/control-plane/tests/catch_up_test.cpp
+++ b/packages/control-plane/tests/catch_up_test.cpp
@@ -5,6 +5,7 @@
 #include <iostream>
 
 #include "emberdale/avro_codec.hpp"
+#include "emberdale/routing_table_edits.hpp"
 #include "support/machine_fleet.hpp"
 
 namespace emberdale {
--- a/packages/control-plane/tests/stale_daemon_test.cpp
+++ b/packages/control-plane/tests/stale_daemon_test.cpp
@@ -226,7 +226,7 @@
       std::function<void()> read_lists = [&] {
         for (const auto& name : fleet.running())
           fleet.call_daemon(name, [&](ControlDaemon& daemon, TimePoint now) {
-            if (!daemon.takes_list(now))
+            if (!daemon.begin_list_read(now))
               return;
             readings[name].push_back(fleet.now());
             daemon.on_runner_list(std::vector<ListedRunner>{}, now, now);
@@ -285,7 +285,7 @@
   std::set<std::string> named_by(const std::string& machine, const std::string& zone) {
     std::set<std::string> named;
     fleet_.call_daemon(machine, [&](ControlDaemon& daemon, TimePoint now) {
-      for (const auto& http : daemon.front_addresses(RegionName{"north"}, ZoneName{zone}, 64, now))
+      for (const auto& http : daemon.gateway_addresses(RegionName{"north"}, ZoneName{zone}, 64, now))
         named.insert(http);
     });
     return named;
--- a/packages/control-plane/tests/support/machine_fleet.cpp
+++ b/packages/control-plane/tests/support/machine_fleet.cpp
@@ -127,7 +127,7 @@
     if (!runs(name, incarnation))
       return;
     Machine& ending = at(name);
-    ending.control->answer_all(clock(ending));
+    ending.control->end_all_requests(clock(ending));
     flush(ending);
     kill(name);
   });
