--- a/packages/call-routing/tests/route_dispatcher_test.cpp
+++ b/packages/call-routing/tests/route_dispatcher_test.cpp
@@ -7,7 +7,7 @@
 #include <algorithm>
 #include <functional>
 
-#include "emberdale/warmup_shares.hpp"
+#include "emberdale/warmup_allocator.hpp"
 
 using namespace emberdale;
 
@@ -1039,7 +1039,7 @@
           Letter letter = daemon.mail.front();
           daemon.mail.pop_front();
           daemon.view = letter.view;
-          daemon.warming_up_until = letter.said + WarmupShares::lease;
+          daemon.warming_up_until = letter.said + WarmupAllocator::lease;
           daemon.dispatcher->set_warming_up_until(daemon.warming_up_until);
           for (const auto& [name, row] : letter.view->runners) {
             std::int64_t calls = 0;
@@ -1135,7 +1135,7 @@
   std::multimap<TimePoint, Event> events;
   std::vector<Sent> all_sends;
   std::map<RunnerName, std::vector<Sent>> warmup_sends;
-  WarmupShares shares;
+  WarmupAllocator shares;
   CallIndex last_call = 0;
   int last_runner = 0;
   std::int64_t calls_a_tick = 1;
--- a/packages/control-plane/include/emberdale/control_daemon.hpp
+++ b/packages/control-plane/include/emberdale/control_daemon.hpp
@@ -35,7 +35,7 @@
 #include "emberdale/runner_health_monitor.hpp"
 #include "emberdale/runner_list.hpp"
 #include "emberdale/serving_plans.hpp"
-#include "emberdale/warmup_shares.hpp"
+#include "emberdale/warmup_allocator.hpp"
 #include "emberdale/window_scheduler.hpp"
 
 namespace emberdale {
@@ -280,7 +280,7 @@
   AppliedRoutingTable routing_table_;
   RunnerHealthMonitor runner_health_monitor_;
   RunnerList runner_list_;
-  WarmupShares warmup_shares_;
+  WarmupAllocator warmup_allocator_;
   PlacementMap map_;  // published here or received; its version only grows
   SlicePublisher slices_;
   GatewayDirectory gateway_directory_;
--- a/packages/control-plane/src/control_maps.cpp
+++ b/packages/control-plane/src/control_maps.cpp
@@ -109,14 +109,14 @@
   auto warmup_share = [this, now](const RunnerRow& row, const std::vector<std::string>& near,
                                   const std::vector<std::string>& all) {
     // Work that is bound to a region is brought there by daemons of all regions.
-    return warmup_shares_.share(row, settings_.reads_runner_list ? all : near, all, now);
+    return warmup_allocator_.share(row, settings_.reads_runner_list ? all : near, all, now);
   };
   PlacementMap map = compute_map(proposer_.state(), placed_configuration(), statuses, live_gateways(now),
                                  live_followers(now), version, warmup_share);
   map.routing_table_revision = routing_table_.revision();
   for (const auto& row : map.runners)
     if (row.state == RunnerState::warm)
-      warmup_shares_.forget(row.name);
+      warmup_allocator_.forget(row.name);
   return map;
 }
 
--- a/packages/control-plane/src/control_membership.cpp
+++ b/packages/control-plane/src/control_membership.cpp
@@ -151,7 +151,7 @@
   lease_.begin(now);
   edits_.begin();
   record(now, "master", "term " + std::to_string(election_.term()));
-  warmup_shares_.begin_term(map_, election_.term() > 1, now);
+  warmup_allocator_.begin_term(map_, election_.term() > 1, now);
   daemon_statuses_.clear();
   followers_.clear();
   runner_health_monitor_.inherit(map_, now);
--- a/packages/data-plane/src/data_daemon.cpp
+++ b/packages/data-plane/src/data_daemon.cpp
@@ -4,7 +4,7 @@
 #include <variant>
 
 #include "emberdale/placement_map.hpp"
-#include "emberdale/warmup_shares.hpp"
+#include "emberdale/warmup_allocator.hpp"
 
 namespace emberdale {
 namespace {
@@ -294,7 +294,7 @@
   TimePoint until{INT64_MAX};
   for (const auto& [topic, owner] : shard_owners_)
     if (topic != plans_topic)
-      until = std::min(until, owner.master_confirmed_at + WarmupShares::lease);
+      until = std::min(until, owner.master_confirmed_at + WarmupAllocator::lease);
   lease_manager_.set_warming_up_until(until);
 }
 
--- a/packages/fleet-simulator/include/emberdale/fleet_simulation.hpp
+++ b/packages/fleet-simulator/include/emberdale/fleet_simulation.hpp
@@ -237,7 +237,7 @@
   void complete_at_runner(const Attempt& attempt, std::int64_t work_generation);
   void lose_attempt(const Attempt& attempt);
   AttemptResult report_of(const Attempt& attempt, const SimulatedRunner& runner, AttemptOutcome kind,
-                    const std::string& reason) const;
+                          const std::string& reason) const;
   void end_attempt(const Attempt& attempt, const AttemptResult& end);
   void count(CallOutcome outcome);
   void end_call(CallIndex index, CallOutcome outcome, const std::string& reason = "");
--- a/packages/fleet-simulator/src/simulated_calls.cpp
+++ b/packages/fleet-simulator/src/simulated_calls.cpp
@@ -182,7 +182,8 @@
   SimulatedRunner& runner = runners_.at(attempt.send.runner.text);
   if (runner.work_generation != work_generation) {
     later(attempt.travel_ms, [this, attempt] {
-      end_attempt(attempt, report_of(attempt, runners_.at(attempt.send.runner.text), AttemptOutcome::lost, "link broke"));
+      end_attempt(attempt,
+                  report_of(attempt, runners_.at(attempt.send.runner.text), AttemptOutcome::lost, "link broke"));
     });
     return;
   }
@@ -190,20 +191,21 @@
     return lose_attempt(attempt);
   runner.finish();
   bool is_late = now_ + attempt.travel_ms > attempt.deadline;
-  AttemptResult end =
-      report_of(attempt, runner, is_late ? AttemptOutcome::lost : AttemptOutcome::completed, is_late ? deadline_reason : "");
+  AttemptResult end = report_of(attempt, runner, is_late ? AttemptOutcome::lost : AttemptOutcome::completed,
+                                is_late ? deadline_reason : "");
   later(attempt.travel_ms, [this, attempt, end] { end_attempt(attempt, end); });
 }
 
 // No response ever comes: the daemon gives up at the deadline.
 void FleetSimulation::lose_attempt(const Attempt& attempt) {
   at(std::max(now_, attempt.deadline), [this, attempt] {
-    end_attempt(attempt, report_of(attempt, runners_.at(attempt.send.runner.text), AttemptOutcome::lost, deadline_reason));
+    end_attempt(attempt,
+                report_of(attempt, runners_.at(attempt.send.runner.text), AttemptOutcome::lost, deadline_reason));
   });
 }
 
 AttemptResult FleetSimulation::report_of(const Attempt& attempt, const SimulatedRunner& runner, AttemptOutcome kind,
-                                   const std::string& reason) const {
+                                         const std::string& reason) const {
   AttemptResult end;
   end.call = attempt.send.call;
   end.outcome = kind;
--- a/packages/placement-map/include/emberdale/placement_map.hpp
+++ b/packages/placement-map/include/emberdale/placement_map.hpp
@@ -18,7 +18,7 @@
 
 // Divides the allowance of a runner that is warming up among data daemons: `local` are those of its own region, `all`
 // those of every region.
-using WarmupShareFunction = std::function<std::vector<WarmupGrant>(
+using WarmupGrantFunction = std::function<std::vector<WarmupGrant>(
     const RunnerRow&, const std::vector<std::string>& local, const std::vector<std::string>& all)>;
 
 // Computes the map of one version. The routing table is left out: the caller adds its rows.
@@ -30,7 +30,7 @@
 PlacementMap compute_map(const FleetState& state, const Configuration& configuration,
                          const std::map<RunnerName, RunnerStatus>& statuses, const std::vector<GatewayRow>& gateways,
                          const std::vector<GatewayRow>& edges, const MapVersion& version,
-                         const WarmupShareFunction& share = nullptr);
+                         const WarmupGrantFunction& share = nullptr);
 
 // Divides an allowance (requests a second) evenly among daemons; the sum of the grants is the allowance. The remainder
 // goes to the daemons that rank first for the runner.
--- a/packages/placement-map/include/emberdale/warmup_shares.hpp
+++ b/packages/placement-map/include/emberdale/warmup_allocator.hpp
@@ -12,10 +12,10 @@
 
 // The grants of all runners that are warming up, at the master.
 // Example:
-//   WarmupShares shares;
+//   WarmupAllocator shares;
 //   shares.begin_term(last_map, true, now);
 //   row.warmup_grants = shares.share(row, {"d1"}, {"d1", "d2"}, now);
-class WarmupShares {
+class WarmupAllocator {
  public:
   // A data daemon uses a grant only while the publisher of its slice has heard the master within this time...
   static constexpr Duration lease{2000};
--- a/packages/placement-map/src/placement_map.cpp
+++ b/packages/placement-map/src/placement_map.cpp
@@ -66,7 +66,7 @@
 }
 
 std::vector<WarmupGrant> make_warmup_grants(const RunnerRow& row, const std::vector<GatewayRow>& gateways,
-                                            const WarmupShareFunction& share) {
+                                            const WarmupGrantFunction& share) {
   std::vector<std::string> local;
   std::vector<std::string> all;
   for (const auto& gateway : gateways) {
@@ -153,7 +153,7 @@
 PlacementMap compute_map(const FleetState& state, const Configuration& configuration,
                          const std::map<RunnerName, RunnerStatus>& statuses, const std::vector<GatewayRow>& gateways,
                          const std::vector<GatewayRow>& edges, const MapVersion& version,
-                         const WarmupShareFunction& share) {
+                         const WarmupGrantFunction& share) {
   std::set<ZoneName> evacuated_zones = find_evacuated_zones(configuration);
   PlacementMap map;
   map.version = version;
--- a/packages/placement-map/src/warmup_shares.cpp
+++ b/packages/placement-map/src/warmup_allocator.cpp
@@ -1,4 +1,4 @@
-#include "emberdale/warmup_shares.hpp"
+#include "emberdale/warmup_allocator.hpp"
 
 #include <algorithm>
 
@@ -6,7 +6,7 @@
 
 namespace emberdale {
 
-void WarmupShares::begin_term(const PlacementMap& last_map, bool has_previous_term, TimePoint now) {
+void WarmupAllocator::begin_term(const PlacementMap& last_map, bool has_previous_term, TimePoint now) {
   runners_.clear();
   for (const auto& row : last_map.runners) {
     if (row.state != RunnerState::warming_up)
@@ -23,8 +23,8 @@
 // Revokes the grants of all other daemons and gives their sum. A daemon may use its grant for one lease yet, also one
 // that is silent here: it may have restarted and have received the map from its publisher before this daemon hears of
 // it.
-std::int64_t WarmupShares::revoke_grants_except(const std::vector<std::string>& daemons, Runner& runner,
-                                                TimePoint now) {
+std::int64_t WarmupAllocator::revoke_grants_except(const std::vector<std::string>& daemons, Runner& runner,
+                                                   TimePoint now) {
   std::int64_t revoked = 0;
   for (auto entry = runner.granted.begin(); entry != runner.granted.end();) {
     const auto& [daemon, requests] = *entry;
@@ -40,7 +40,7 @@
 }
 
 // Lowers grants until their sum is within the allowance, and gives that sum.
-std::int64_t WarmupShares::limit_grants(std::int64_t allowance, Runner& runner) {
+std::int64_t WarmupAllocator::limit_grants(std::int64_t allowance, Runner& runner) {
   std::int64_t sum = 0;
   for (auto& [daemon, requests] : runner.granted) {
     requests = std::min(requests, allowance - sum);
@@ -50,7 +50,7 @@
 }
 
 // The sum of the revoked grants that may still be in use; forgets the others.
-std::int64_t WarmupShares::sum_of_revoked(Runner& runner, TimePoint now) {
+std::int64_t WarmupAllocator::sum_of_revoked(Runner& runner, TimePoint now) {
   std::int64_t sum = 0;
   for (auto entry = runner.revoked.begin(); entry != runner.revoked.end();) {
     if (now - entry->second.revoked_at >= settling_time) {
@@ -64,7 +64,7 @@
 }
 
 // Grants one request after the other, each to the first daemon of the ranking that has the fewest.
-void WarmupShares::grant_evenly(std::int64_t requests, const std::vector<std::string>& ranked, Runner& runner) {
+void WarmupAllocator::grant_evenly(std::int64_t requests, const std::vector<std::string>& ranked, Runner& runner) {
   if (ranked.empty())
     return;
   for (std::int64_t level = 0; requests > 0; ++level) {
@@ -79,8 +79,8 @@
   }
 }
 
-std::vector<WarmupGrant> WarmupShares::share(const RunnerRow& row, const std::vector<std::string>& local,
-                                             const std::vector<std::string>& all, TimePoint now) {
+std::vector<WarmupGrant> WarmupAllocator::share(const RunnerRow& row, const std::vector<std::string>& local,
+                                                const std::vector<std::string>& all, TimePoint now) {
   Runner& runner = runners_[row.name];
   // What was granted for a previous incarnation is void: the runner refuses requests meant for it.
   bool is_new_incarnation = runner.incarnation != row.incarnation;
--- a/packages/placement-map/tests/placement_map_test.cpp
+++ b/packages/placement-map/tests/placement_map_test.cpp
@@ -7,7 +7,7 @@
 #include <set>
 
 #include "emberdale/placement_slices.hpp"
-#include "emberdale/warmup_shares.hpp"
+#include "emberdale/warmup_allocator.hpp"
 
 namespace emberdale {
 namespace {
@@ -115,7 +115,7 @@
   EXPECT_EQ(publisher.rows_sent(), 51);
 }
 
-TEST(WarmupShares, AGrantPassesToAnotherOnlyWhenItsHolderCanNoLongerUseIt) {
+TEST(WarmupAllocator, AGrantPassesToAnotherOnlyWhenItsHolderCanNoLongerUseIt) {
   auto sum = [](const std::vector<WarmupGrant>& grants) {
     std::int64_t requests = 0;
     for (const auto& grant : grants)
@@ -132,7 +132,7 @@
   row.name.text = "m1";
   row.incarnation = 7;
   row.allowance = 2;
-  WarmupShares shares;
+  WarmupAllocator shares;
   shares.begin_term(PlacementMap{}, false, TimePoint{0});
   auto first = shares.share(row, {"d1", "d2"}, {"d1", "d2", "d3"}, TimePoint{0});
   EXPECT_EQ(sum(first), 2);
@@ -142,7 +142,7 @@
   EXPECT_EQ(granted_to(more, "d2"), granted_to(first, "d2"));
   // One goes silent: its lease is waited for, and longer while the runner still works on something.
   EXPECT_EQ(sum(shares.share(row, {"d2", "d4"}, {"d2", "d3", "d4"}, TimePoint{5000})), granted_to(first, "d2"));
-  std::int64_t lapsed = 5000 + WarmupShares::settling_time.value;
+  std::int64_t lapsed = 5000 + WarmupAllocator::settling_time.value;
   EXPECT_EQ(sum(shares.share(row, {"d2", "d4"}, {"d2", "d3", "d4"}, TimePoint{lapsed - 1})), granted_to(first, "d2"));
   row.load = 1;
   EXPECT_EQ(sum(shares.share(row, {"d2", "d4"}, {"d2", "d3", "d4"}, TimePoint{lapsed})), granted_to(first, "d2"));
@@ -154,18 +154,19 @@
   // Alive, but no longer among those that are granted something: its lease is waited for.
   auto moved = shares.share(row, {"d2"}, {"d2", "d3", "d4"}, TimePoint{9000});
   EXPECT_EQ(sum(moved), 0);
-  EXPECT_EQ(sum(shares.share(row, {"d2"}, {"d2", "d3", "d4"}, TimePoint{9000 + WarmupShares::settling_time.value})), 2);
+  EXPECT_EQ(sum(shares.share(row, {"d2"}, {"d2", "d3", "d4"}, TimePoint{9000 + WarmupAllocator::settling_time.value})),
+            2);
 }
 
-TEST(WarmupShares, ANewTermGrantsNothingThatThePreviousMasterMayHaveGranted) {
+TEST(WarmupAllocator, ANewTermGrantsNothingThatThePreviousMasterMayHaveGranted) {
   RunnerRow row;
   row.name.text = "m1";
   row.incarnation = 7;
   row.allowance = 2;
-  WarmupShares shares;
+  WarmupAllocator shares;
   shares.begin_term(PlacementMap{}, true, TimePoint{0});
   EXPECT_TRUE(shares.share(row, {"d1"}, {"d1"}, TimePoint{100}).empty());
-  EXPECT_EQ(shares.share(row, {"d1"}, {"d1"}, TimePoint{0} + WarmupShares::settling_time).size(), 1u);
+  EXPECT_EQ(shares.share(row, {"d1"}, {"d1"}, TimePoint{0} + WarmupAllocator::settling_time).size(), 1u);
 }
 
 }  // namespace
