--- a/packages/control-plane/tests/routing_table_edits_test.cpp
+++ b/packages/control-plane/tests/routing_table_edits_test.cpp
@@ -8,10 +8,9 @@
 
 #include "emberdale/avro_codec.hpp"
 
-using namespace emberdale;
-using Json = nlohmann::json;
-
+namespace emberdale {
 namespace {
+using Json = nlohmann::json;
 
 std::string table(std::int64_t revision, const std::string& prefix = "/x/") {
   return R"({"revision":)" + std::to_string(revision) +
@@ -19,11 +18,11 @@
          R"(","kind":"retry_safe","horizon_ms":8000,"pool":"m"}],"pools":[{"name":"m"}]})";
 }
 
-EditRequest edit(EditAction act, std::int64_t base, const std::string& body) {
-  return EditRequest{1, "change", act, routing_table_kind, routing_table_name, base, body};
+EditRequest edit(EditAction action, std::int64_t base, const std::string& body) {
+  return EditRequest{1, "change", action, routing_table_kind, routing_table_name, base, body};
 }
 
-// A state that holds other resources as well, which no change of the table may touch.
+// A state that has other resources as well, which no change of the table may touch.
 FleetState blank_state() {
   FleetState state;
   state.resources = {{orders_kind, "a", 3, 4, R"({"state":"emptied"})"}, {routing_table_kind, "other", 5, 6, "kept"}};
@@ -56,8 +55,6 @@
   return text;
 }
 
-}  // namespace
-
 TEST(RoutingTableEdits, TheFirstTableIsAddedAndOthersStayAsTheyAre) {
   FleetState blank = blank_state();
   EXPECT_EQ(routing_table_document_of(blank), "");
@@ -76,7 +73,7 @@
             Json::parse(table(7)));
 }
 
-TEST(RoutingTableEdits, OfTwoChangesOnOneBaseOneIsTaken) {
+TEST(RoutingTableEdits, OfTwoChangesOfOneExpectedVersionOneIsApplied) {
   FleetState state = after(blank_state(), edit(EditAction::replace, 0, table(7)));
   FleetState won = after(state, edit(EditAction::replace, 7, table(9, "/won/")));
   RoutingTableEditResult lost =
@@ -88,12 +85,12 @@
   EXPECT_EQ(Json::parse(routing_table_document_of(won)), Json::parse(table(9, "/won/")));
 }
 
-TEST(RoutingTableEdits, TheSameChangeAgainWritesNothingAlsoAfterOthers) {
+TEST(RoutingTableEdits, ARepeatedChangeWritesNothingAlsoAfterOthers) {
   FleetState state = after(blank_state(), edit(EditAction::replace, 0, table(7)));
   state = after(state, edit(EditAction::replace, 7, table(9)));
   state = after(state, edit(EditAction::replace, 9, table(30)));
   EditRequest again = edit(EditAction::replace, 7, table(9));
-  again.change_id = "sent-again";  // a copy from elsewhere has another id
+  again.change_id = "sent-again";  // a copy from another daemon has another id
   RoutingTableEditResult result = apply_routing_table_edit(state, again, state.config_revision + 1);
   EXPECT_EQ(result.edit.code, 200);
   EXPECT_TRUE(result.is_repeat);
@@ -101,7 +98,7 @@
   EXPECT_EQ(shown(result.edit.resources), shown(state.resources));
 }
 
-TEST(RoutingTableEdits, AChangeTooOldToTellIsNeitherAcknowledgedNorRefused) {
+TEST(RoutingTableEdits, AChangeOlderThanTheHistoryIsNeitherAcknowledgedNorRefused) {
   FleetState state = blank_state();
   for (std::int64_t revision = 1; revision <= 131; ++revision)
     state = after(state, edit(EditAction::replace, revision - 1, table(revision)));
@@ -150,14 +147,17 @@
       {edit(EditAction::put, 7, table(9)), 400},
       {edit(EditAction::remove, 7, ""), 400},
   };
-  for (const auto& [ask, code] : refused) {
-    RoutingTableEditResult result = apply_routing_table_edit(state, ask, state.config_revision + 1);
-    EXPECT_EQ(result.edit.code, code) << to_string(ask.action) << " " << ask.body;
-    EXPECT_EQ(shown(result.edit.resources), shown(state.resources)) << ask.body;
+  for (const auto& [request, code] : refused) {
+    RoutingTableEditResult result = apply_routing_table_edit(state, request, state.config_revision + 1);
+    EXPECT_EQ(result.edit.code, code) << to_string(request.action) << " " << request.body;
+    EXPECT_EQ(shown(result.edit.resources), shown(state.resources)) << request.body;
     EXPECT_EQ(result.edit.deleted_version, state.deleted_version);
     EXPECT_EQ(result.edit.version, 7);
     EXPECT_FALSE(result.is_repeat);
     EXPECT_FALSE(result.edit.reason.empty());
-    EXPECT_EQ(result.edit.findings.empty(), code == 412) << ask.body;
+    EXPECT_EQ(result.edit.findings.empty(), code == 412) << request.body;
   }
 }
+
+}  // namespace
+}  // namespace emberdale
