--- a/packages/configuration-register/include/emberdale/message_validation.hpp
+++ b/packages/configuration-register/include/emberdale/message_validation.hpp
@@ -67,7 +67,7 @@
  private:
   std::map<InvalidInput, std::int64_t> counts_;
   std::int64_t total_ = 0;
-  std::set<std::pair<Address, InvalidInput>> told_;
+  std::set<std::pair<Address, InvalidInput>> reported_;
   std::vector<RefusedMessage> news_;
 };
 
--- a/packages/configuration-register/src/message_validation.cpp
+++ b/packages/configuration-register/src/message_validation.cpp
@@ -7,7 +7,7 @@
 namespace emberdale {
 namespace {
 
-constexpr std::size_t notified_bound = 1024;  // peers and reasons that are told of; all are counted
+constexpr std::size_t max_reported = 1024;  // peers and reasons that are reported; all are counted
 constexpr std::size_t proposer_name_bound = 256;
 constexpr std::size_t detail_bound = 200;
 
@@ -19,7 +19,7 @@
   return true;
 }
 
-// Names in a detail are the sender's: only so much of them is told, and nothing that breaks a line.
+// Names in a detail are the sender's: only so much of them is reported, and nothing that breaks a line.
 std::string printable(std::string detail) {
   detail.resize(std::min(detail.size(), detail_bound));
   for (char& letter : detail)
@@ -98,7 +98,7 @@
 void RefusedMessages::add(const Address& from, InvalidInput reason, const std::string& detail) {
   ++counts_[reason];
   ++total_;
-  if (told_.size() < notified_bound && told_.insert({from, reason}).second)
+  if (reported_.size() < max_reported && reported_.insert({from, reason}).second)
     news_.push_back({from, reason, printable(detail)});
 }
 
--- a/packages/configuration-register/src/register_acceptor.cpp
+++ b/packages/configuration-register/src/register_acceptor.cpp
@@ -1,3 +1,4 @@
+// A replica of the register: what it promises, accepts and tells readers.
 #include "emberdale/register_acceptor.hpp"
 
 #include "emberdale/avro_codec.hpp"
@@ -7,16 +8,16 @@
 namespace emberdale {
 namespace {
 
-// Whoever asked waits for less than a second: with so many writes before it, its answer would come too late. The
-// bound also keeps the memory of what waits for a stalled disk small.
-constexpr std::size_t most_unsynced = 64;
-constexpr std::size_t most_unsynced_bytes = 8 << 20;
+// A proposer waits for less than a second: with so many writes before it, its response would come too late. The limits
+// also bound the memory that a stalled disk takes.
+constexpr std::size_t max_unsynced_writes = 64;
+constexpr std::size_t max_unsynced_bytes = 8 << 20;
 
 }  // namespace
 
 Outcome<bool> RegisterAcceptor::restore(const std::vector<std::string>& records) {
   // A record without a value names the ballot of the value it stands on: a write that the disk
-  // refused half-way, and that nobody was answered for, must not slip in between.
+  // refused half-way, and that no response was sent for, must not slip in between.
   std::map<Ballot, Bytes> values{{Ballot{}, Bytes{}}};
   AcceptorRecord newest;
   FleetState state;
@@ -42,83 +43,94 @@
   }
   if (newest.accepted != Ballot{})
     state = *decode_state(newest.value.data);  // the newest record may stand on an older value
-  synced_ = ahead_ = std::move(newest);
+  synced_ = latest_ = std::move(newest);
   state_ = std::move(state);
   return true;
 }
 
-void RegisterAcceptor::write(AcceptorRecord after, std::optional<FleetState> state, OutboundMessage answer) {
-  ahead_ = after;
-  AcceptorRecord lean = after;
-  lean.has_value = state.has_value();
-  if (!lean.has_value)
-    lean.value = Bytes{};
-  std::string record = encode_acceptor_record(lean);
+void RegisterAcceptor::write(AcceptorRecord after, std::optional<FleetState> state, OutboundMessage response) {
+  latest_ = after;
+  AcceptorRecord stored = after;
+  stored.has_value = state.has_value();
+  if (!stored.has_value)
+    stored.value = Bytes{};
+  std::string record = encode_acceptor_record(stored);
   unsynced_bytes_ += record.size();
-  held_.push_back({++last_token_, std::move(after), std::move(state), std::move(answer), record.size()});
+  pending_writes_.push_back({++last_token_, std::move(after), std::move(state), std::move(response), record.size()});
   writes_.push_back({last_token_, std::move(record)});
 }
 
 bool RegisterAcceptor::is_backlogged() {
-  if (held_.size() < most_unsynced && unsynced_bytes_ < most_unsynced_bytes)
+  if (pending_writes_.size() < max_unsynced_writes && unsynced_bytes_ < max_unsynced_bytes)
     return false;
   ++dropped_;
   return true;
 }
 
 bool RegisterAcceptor::on_message(const Address& from, const Message& message, TimePoint now) {
-  if (!awake_since_)
-    awake_since_ = now;
-  if (const auto* prepare = std::get_if<Prepare>(&message))
-    on_prepare(from, *prepare);
-  else if (const auto* accept = std::get_if<Accept>(&message))
-    on_accept(from, *accept);
-  else if (const auto* read = std::get_if<ReadRequest>(&message))
-    on_read(from, *read, now);
-  else if (const auto* bootstrap_request = std::get_if<BootstrapRequest>(&message))
-    on_bootstrap_request(from, *bootstrap_request);
-  else
-    return false;
+  if (!listening_since_)
+    listening_since_ = now;
+  return std::visit([&](const auto& body) { return handle(from, body, now); }, message);
+}
+
+bool RegisterAcceptor::handle(const Address& from, const Prepare& prepare, TimePoint) {
+  on_prepare(from, prepare);
+  return true;
+}
+
+bool RegisterAcceptor::handle(const Address& from, const Accept& accept, TimePoint) {
+  on_accept(from, accept);
+  return true;
+}
+
+bool RegisterAcceptor::handle(const Address& from, const ReadRequest& read, TimePoint now) {
+  on_read(from, read, now);
+  return true;
+}
+
+bool RegisterAcceptor::handle(const Address& from, const BootstrapRequest& request, TimePoint) {
+  on_bootstrap_request(from, request);
   return true;
 }
 
 void RegisterAcceptor::on_prepare(const Address& from, const Prepare& prepare) {
   if (prepare.store != store_ || is_backlogged())
     return;  // meant for the store that was here before
-  auto fault = check_ballot_step(prepare.ballot, ahead_.promised);
+  auto fault = check_ballot_step(prepare.ballot, latest_.promised);
   if (!fault && prepare.ballot.proposer != from)
     fault = InvalidInput::ballot_of_another;
   if (fault)
     return refusals_.add(from, *fault, "Prepare with ballot " + std::to_string(prepare.ballot.number));
-  if (prepare.ballot < ahead_.promised || prepare.ballot == ahead_.promised) {
-    out_.push_back({from, Promise{prepare.request_id, store_, false, ahead_.promised, Ballot{}, Bytes{}}});
+  if (prepare.ballot < latest_.promised || prepare.ballot == latest_.promised) {
+    out_.push_back({from, Promise{prepare.request_id, store_, false, latest_.promised, Ballot{}, Bytes{}}});
     return;
   }
-  AcceptorRecord after = ahead_;
+  AcceptorRecord after = latest_;
   after.promised = prepare.ballot;
-  bool is_known = prepare.known_ballot == ahead_.accepted;
-  Promise promise{prepare.request_id, store_, true, prepare.ballot, ahead_.accepted, is_known ? Bytes{} : ahead_.value};
+  bool is_known = prepare.known_ballot == latest_.accepted;
+  Promise promise{prepare.request_id, store_,           true,
+                  prepare.ballot,     latest_.accepted, is_known ? Bytes{} : latest_.value};
   write(after, std::nullopt, {from, std::move(promise)});
 }
 
 void RegisterAcceptor::on_accept(const Address& from, const Accept& accept) {
   if (accept.store != store_ || is_backlogged())
     return;
-  if (auto fault = check_ballot_step(accept.ballot, ahead_.promised))
+  if (auto fault = check_ballot_step(accept.ballot, latest_.promised))
     return refusals_.add(from, *fault, "Accept with ballot " + std::to_string(accept.ballot.number));
-  if (accept.ballot < ahead_.promised) {
-    out_.push_back({from, Accepted{accept.request_id, store_, false, ahead_.promised}});
+  if (accept.ballot < latest_.promised) {
+    out_.push_back({from, Accepted{accept.request_id, store_, false, latest_.promised}});
     return;
   }
-  OutboundMessage answer{from, Accepted{accept.request_id, store_, true, accept.ballot}};
-  if (accept.ballot == ahead_.accepted) {  // a copy that is already here, or on its way to disk
-    if (held_.empty())
-      out_.push_back(std::move(answer));
+  OutboundMessage response{from, Accepted{accept.request_id, store_, true, accept.ballot}};
+  if (accept.ballot == latest_.accepted) {  // a copy that is already here, or on its way to disk
+    if (pending_writes_.empty())
+      out_.push_back(std::move(response));
     else
-      write(ahead_, std::nullopt, std::move(answer));
+      write(latest_, std::nullopt, std::move(response));
     return;
   }
-  auto value = whole_value(accept);
+  auto value = decode_value(accept);
   if (!value) {
     out_.push_back({from, Accepted{accept.request_id, store_, false, accept.ballot, true}});
     return;
@@ -126,15 +138,15 @@
   auto checked = check_value(*value, accept.ballot, state_.fleet_name);
   if (checked.fault)
     return refusals_.add(from, *checked.fault, "Accept: " + checked.detail);
-  write({accept.ballot, true, accept.ballot, std::move(*value)}, std::move(checked.state), std::move(answer));
+  write({accept.ballot, true, accept.ballot, std::move(*value)}, std::move(checked.state), std::move(response));
 }
 
-std::optional<Bytes> RegisterAcceptor::whole_value(const Accept& accept) const {
+std::optional<Bytes> RegisterAcceptor::decode_value(const Accept& accept) const {
   if (accept.base == Ballot{})
     return accept.value;
-  if (accept.base != ahead_.accepted)
+  if (accept.base != latest_.accepted)
     return std::nullopt;
-  auto whole = apply_delta(ahead_.value.data, accept.value.data);
+  auto whole = apply_delta(latest_.value.data, accept.value.data);
   if (!whole || content_digest_bytes(*whole) != accept.digest.data)
     return std::nullopt;
   return Bytes{std::move(*whole)};
@@ -142,7 +154,7 @@
 
 void RegisterAcceptor::on_read(const Address& from, const ReadRequest& read, TimePoint now) {
   if (read.role == DaemonRole::edge)
-    heard_[from] = now;
+    last_heard_[from] = now;
   ReadResponse response;
   response.request_id = read.request_id;
   response.store = store_;
@@ -151,12 +163,12 @@
   response.minimum_version = state_.minimum_version;
   response.acceptors = state_.acceptors;
   response.next_acceptors = state_.next_acceptors;
-  response.uptime_ms = (now - *awake_since_).value;
+  response.uptime_ms = (now - *listening_since_).value;
   if (read.role != DaemonRole::data && !read.ballots_only && read.known_ballot != synced_.accepted)
     add_value(read.known_ballot, response);
   if (read.wants_contacts)
-    for (const auto& [daemon, moment] : heard_)
-      response.contacts.push_back({daemon, (now - moment).value});
+    for (const auto& [daemon, heard_at] : last_heard_)
+      response.contacts.push_back({daemon, (now - heard_at).value});
   out_.push_back({from, std::move(response)});
 }
 
@@ -175,61 +187,61 @@
   response.digest = *digest_;
 }
 
-void RegisterAcceptor::on_bootstrap_request(const Address& from, const BootstrapRequest& bootstrap_request) {
+void RegisterAcceptor::on_bootstrap_request(const Address& from, const BootstrapRequest& request) {
   if (is_backlogged())
     return;
-  BootstrapResponse response{bootstrap_request.request_id, store_, false, ""};
+  BootstrapResponse response{request.request_id, store_, false, ""};
   const Ballot first{1, Address{"founding"}};
-  if (bootstrap_request.store != store_)
+  if (request.store != store_)
     response.reason = "another store";
-  else if (ahead_.accepted != Ballot{} && !(ahead_.value == bootstrap_request.value))
+  else if (latest_.accepted != Ballot{} && !(latest_.value == request.value))
     response.reason = "this store already holds a register";
-  bool is_new = response.reason.empty() && ahead_.accepted == Ballot{};
+  bool is_new = response.reason.empty() && latest_.accepted == Ballot{};
   CheckedValue checked;
   if (is_new)
-    checked = check_value(bootstrap_request.value, first, "");
+    checked = check_value(request.value, first, "");
   if (checked.fault) {
     response.reason = checked.detail;
     refusals_.add(from, *checked.fault, "Found: " + checked.detail);
   }
   response.granted = response.reason.empty();
-  if (response.granted && !is_new && !held_.empty())
-    return write(ahead_, std::nullopt, {from, response});  // the same value may still be on its way to disk
+  if (response.granted && !is_new && !pending_writes_.empty())
+    return write(latest_, std::nullopt, {from, response});  // the same value may still be on its way to disk
   if (!response.granted || !is_new) {
     out_.push_back({from, response});
     return;
   }
-  AcceptorRecord after{ahead_.promised < first ? first : ahead_.promised, true, first, bootstrap_request.value};
+  AcceptorRecord after{latest_.promised < first ? first : latest_.promised, true, first, request.value};
   write(after, std::move(checked.state), {from, response});
 }
 
 void RegisterAcceptor::synced(std::int64_t token) {
-  while (!held_.empty() && held_.front().token <= token) {
-    Held held = std::move(held_.front());
-    held_.pop_front();
-    unsynced_bytes_ -= held.size;
-    if (held.state) {
+  while (!pending_writes_.empty() && pending_writes_.front().token <= token) {
+    PendingWrite written = std::move(pending_writes_.front());
+    pending_writes_.pop_front();
+    unsynced_bytes_ -= written.size;
+    if (written.state) {
       previous_ballot_ = synced_.accepted;
       previous_value_ = std::move(synced_.value);
       delta_.reset();
-      state_ = std::move(*held.state);
+      state_ = std::move(*written.state);
     }
-    synced_ = std::move(held.after);
-    out_.push_back(std::move(held.answer));
+    synced_ = std::move(written.after);
+    out_.push_back(std::move(written.response));
   }
 }
 
 void RegisterAcceptor::refused(std::int64_t) {
-  // What is still held was thought out on top of the refused write: none of it may be answered.
-  held_.clear();
+  // What is still written was thought out on top of the refused write: none of it may be answered.
+  pending_writes_.clear();
   unsynced_bytes_ = 0;
-  ahead_ = synced_;
+  latest_ = synced_;
 }
 
 std::vector<LogWrite> RegisterAcceptor::drain_writes() { return std::exchange(writes_, {}); }
 std::vector<OutboundMessage> RegisterAcceptor::drain_outbound() { return std::exchange(out_, {}); }
 
-std::string RegisterAcceptor::picture() const {
+std::string RegisterAcceptor::snapshot() const {
   AcceptorRecord record = synced_;
   record.has_value = true;
   return encode_acceptor_record(record);
--- a/packages/configuration-register/tests/configuration_register_test.cpp
+++ b/packages/configuration-register/tests/configuration_register_test.cpp
@@ -103,32 +103,32 @@
     bench.start(RegisterBench::place(2));
     AcceptorEntry fresh{bench.store(2), RegisterBench::place(2)};
     int ended = 0;
-    auto count_end = [&](const ChangeEnd& end) {
-      ended += end.kind == ChangeEnd::Kind::committed;
+    auto count_end = [&](const ChangeResult& end) {
+      ended += end.kind == ChangeResult::Kind::committed;
     };
     bench.proposer("one").change(
-        [=](const FleetState& state) -> Verdict {
+        [=](const FleetState& state) -> ChangeDecision {
           if (!state.next_acceptors.empty())
-            return {Verdict::Kind::already_there, {}, ""};
+            return {ChangeDecision::Kind::already_there, {}, ""};
           FleetState next = state;
           next.next_acceptors = state.acceptors;
           for (auto& entry : next.next_acceptors)
             if (entry.store == old_store)
               entry = fresh;
-          return {Verdict::Kind::apply, next, ""};
+          return {ChangeDecision::Kind::apply, next, ""};
         },
         count_end, TimePoint{1000}, Duration{100000});
     bench.add_mark("late");  // races with the change of the set
     for (int j = 0; j < 900; ++j)
       bench.step(0.03, 0.03);
     bench.proposer("one").change(
-        [](const FleetState& state) -> Verdict {
+        [](const FleetState& state) -> ChangeDecision {
           if (state.next_acceptors.empty())
-            return {Verdict::Kind::already_there, {}, ""};
+            return {ChangeDecision::Kind::already_there, {}, ""};
           FleetState next = state;
           next.acceptors = state.next_acceptors;
           next.next_acceptors.clear();
-          return {Verdict::Kind::apply, next, ""};
+          return {ChangeDecision::Kind::apply, next, ""};
         },
         count_end, TimePoint{1000}, Duration{100000});
     for (int j = 0; j < 900; ++j)
@@ -171,9 +171,9 @@
   bool has_seen = false;
   bench.proposer("other").change(
       [](const FleetState&) {
-        return Verdict{Verdict::Kind::already_there, {}, ""};
+        return ChangeDecision{ChangeDecision::Kind::already_there, {}, ""};
       },
-      [&](const ChangeEnd& end) {
+      [&](const ChangeResult& end) {
         const auto& proposer = bench.proposer("other");
         has_seen = proposer.has_state() && proposer.state().version == end.state.version;
       },
--- a/packages/configuration-register/tests/message_validation_test.cpp
+++ b/packages/configuration-register/tests/message_validation_test.cpp
@@ -39,15 +39,15 @@
       acceptor.synced(log_write.token);
     return acceptor.drain_outbound();
   }
-  std::string picture() const { return acceptor.picture(); }
+  std::string snapshot() const { return acceptor.snapshot(); }
 };
 
 // Refused: no answer, no write, counted under the reason.
 void expect_refused(Copy& copy, const Address& from, const Message& message, InvalidInput reason) {
-  const std::string before = copy.picture();
+  const std::string before = copy.snapshot();
   std::int64_t total = copy.acceptor.refusals().total();
   EXPECT_TRUE(copy.tell(from, message).empty()) << reason_name(reason);
-  EXPECT_EQ(copy.picture(), before) << reason_name(reason);
+  EXPECT_EQ(copy.snapshot(), before) << reason_name(reason);
   EXPECT_EQ(copy.acceptor.refusals().total(), total + 1) << reason_name(reason);
   EXPECT_GE(copy.acceptor.refusals().counts().count(reason), 1u) << reason_name(reason);
 }
@@ -243,9 +243,9 @@
       [](const FleetState& state) {
         FleetState next = state;
         next.config_revision += 1;
-        return Verdict{Verdict::Kind::apply, next, ""};
+        return ChangeDecision{ChangeDecision::Kind::apply, next, ""};
       },
-      [&](const ChangeEnd& end) { is_done = end.kind == ChangeEnd::Kind::committed; }, now, Duration{4000});
+      [&](const ChangeResult& end) { is_done = end.kind == ChangeResult::Kind::committed; }, now, Duration{4000});
   auto out = asker.proposer.drain_outbound();
   ASSERT_EQ(out.size(), 3u);
   auto prepare = std::get<Prepare>(out[0].message);
@@ -401,7 +401,7 @@
       RC_ASSERT(copy.acceptor.state().fleet_name == "fleet" && asker.proposer.state().fleet_name == "fleet");
       // What the copy holds can be read again.
       RegisterAcceptor again(store_1);
-      RC_ASSERT(again.restore({copy.picture()}).has_value());
+      RC_ASSERT(again.restore({copy.snapshot()}).has_value());
     }
   }));
 }
--- a/packages/configuration-register/tests/register_bench.hpp
+++ b/packages/configuration-register/tests/register_bench.hpp
@@ -50,18 +50,18 @@
     std::string mark = "mark-" + std::to_string(++last_mark_);
     proposer(proposer_name)
         .change(
-            [mark](const FleetState& state) -> Verdict {
+            [mark](const FleetState& state) -> ChangeDecision {
               for (const auto& done : state.completed_changes)
                 if (done.change_id == mark)
-                  return {Verdict::Kind::already_there, {}, ""};
+                  return {ChangeDecision::Kind::already_there, {}, ""};
               FleetState next = state;
               next.completed_changes.push_back({mark, 0, 0});
-              return {Verdict::Kind::apply, next, ""};
+              return {ChangeDecision::Kind::apply, next, ""};
             },
-            [this, mark](const ChangeEnd& end) {
-              if (end.kind == ChangeEnd::Kind::committed) {
+            [this, mark](const ChangeResult& end) {
+              if (end.kind == ChangeResult::Kind::committed) {
                 acked_.insert(mark);
-              } else if (end.kind != ChangeEnd::Kind::unknown) {
+              } else if (end.kind != ChangeResult::Kind::unknown) {
                 refused_.insert(mark);
               }
             },
@@ -127,10 +127,10 @@
     FleetState final_state;
     proposer("reader").change(
         [](const FleetState&) {
-          return Verdict{Verdict::Kind::already_there, {}, ""};
+          return ChangeDecision{ChangeDecision::Kind::already_there, {}, ""};
         },
-        [&](const ChangeEnd& end) {
-          is_read = end.kind == ChangeEnd::Kind::committed;
+        [&](const ChangeResult& end) {
+          is_read = end.kind == ChangeResult::Kind::committed;
           final_state = end.state;
         },
         TimePoint{now_}, Duration{100000});
@@ -196,7 +196,7 @@
       if (written && copy.log->sync()) {
         copy.acceptor->synced(write.token);
         if (copy.log->wants_snapshot())
-          copy.log->snapshot(copy.acceptor->picture());
+          copy.log->snapshot(copy.acceptor->snapshot());
       } else {
         copy.acceptor->refused(write.token);
       }
--- a/packages/configuration-register/tests/stored_register_test.cpp
+++ b/packages/configuration-register/tests/stored_register_test.cpp
@@ -124,7 +124,7 @@
     auto answer = ask(ballot.proposer, Accept{1, store, ballot, delta, base, {content_digest_bytes(value)}});
     EXPECT_TRUE(std::get<Accepted>(answer).granted);
   }
-  Ballot promised() const { return decode_acceptor_record(acceptor->picture())->promised; }
+  Ballot promised() const { return decode_acceptor_record(acceptor->snapshot())->promised; }
 
   template <class Value>
   static Value value_of(Outcome<Value> outcome) {
@@ -148,7 +148,7 @@
     copy.prepare(whole_ballot);
     copy.accept(whole_ballot, whole_state());
     const std::string covered = StoredCopy::value_of(copy.files->read("segment-1"));
-    StoredCopy::value_of(copy.log->snapshot(copy.acceptor->picture()));
+    StoredCopy::value_of(copy.log->snapshot(copy.acceptor->snapshot()));
     StoredCopy::value_of(copy.files->append("segment-1", covered));
     copy.prepare(delta_ballot);
     copy.accept_delta(delta_ballot, newest_state(), whole_ballot, whole_state());
@@ -241,7 +241,7 @@
   RegisterAcceptor acceptor(store);
   ASSERT_TRUE(acceptor.restore({copy.opening.records.at(0)}));
   EXPECT_TRUE(acceptor.accepted() == whole_ballot);
-  EXPECT_TRUE(decode_acceptor_record(acceptor.picture())->promised == whole_ballot);
+  EXPECT_TRUE(decode_acceptor_record(acceptor.snapshot())->promised == whole_ballot);
   EXPECT_EQ(encode_state(acceptor.state()), encode_state(whole_state()));
 }
 
@@ -263,7 +263,7 @@
     StoredCopy copy(folder());
     EXPECT_EQ(copy.opening.records.size(), 6u);
     EXPECT_TRUE(copy.acceptor->accepted() == next_ballot);
-    ASSERT_TRUE(copy.log->snapshot(copy.acceptor->picture()));
+    ASSERT_TRUE(copy.log->snapshot(copy.acceptor->snapshot()));
   }
   StoredCopy copy(folder());
   EXPECT_EQ(copy.opening.store, store);
--- a/packages/configuration-register/tests/value_delta_test.cpp
+++ b/packages/configuration-register/tests/value_delta_test.cpp
@@ -68,9 +68,9 @@
         [&](const FleetState& state) {
           FleetState next = state;
           next.resources[0] = {"traffic", "current", revision, revision, table_text(revision, changed_route)};
-          return Verdict{Verdict::Kind::apply, next, ""};
+          return ChangeDecision{ChangeDecision::Kind::apply, next, ""};
         },
-        [&](const ChangeEnd& end) { is_done = end.kind == ChangeEnd::Kind::committed; }, now, Duration{4000});
+        [&](const ChangeResult& end) { is_done = end.kind == ChangeResult::Kind::committed; }, now, Duration{4000});
     run();
     EXPECT_TRUE(is_done);
   }
@@ -99,7 +99,7 @@
   void expect_all_hold(std::int64_t revision) {
     for (auto& [address, copy] : copies_) {
       EXPECT_EQ(copy.state().resources.at(0).version, revision) << address;
-      EXPECT_EQ(copy.picture(), copies_.begin()->second.picture()) << address;
+      EXPECT_EQ(copy.snapshot(), copies_.begin()->second.snapshot()) << address;
     }
   }
   RegisterProposer proposer{Address{"leader"}, RandomGenerator(1)};
@@ -166,7 +166,7 @@
   RegisterAcceptor& copy = cluster.copy("core-1");
   const Ballot base = copy.accepted();
   const std::string held = encode_state(state_of(1)), next = encode_state(state_of(2, 700));
-  const std::string before = copy.picture();
+  const std::string before = copy.snapshot();
   Accept accept{
       5, copy.store(), Ballot{9, Address{"leader"}}, {make_delta(held, next)}, base, {content_digest_bytes(next)}};
   for (const auto& spoil : std::vector<std::function<void(Accept&)>>{
@@ -181,7 +181,7 @@
     ASSERT_EQ(out.size(), 1u);
     EXPECT_FALSE(std::get<Accepted>(out[0].message).granted);
     EXPECT_TRUE(std::get<Accepted>(out[0].message).needs_full_value);
-    EXPECT_EQ(copy.picture(), before);
+    EXPECT_EQ(copy.snapshot(), before);
   }
   EXPECT_TRUE(std::get<Accepted>(cluster.tell(Address{"core-1"}, accept).at(0).message).granted);
   EXPECT_EQ(copy.state().resources[0].version, 2);
--- a/packages/control-plane/include/emberdale/master_edits.hpp
+++ b/packages/control-plane/include/emberdale/master_edits.hpp
@@ -81,7 +81,7 @@
   EditBatch next_batch() const;
   std::int64_t reserve_map_number(const MapVersion& map_version);
   void write(std::shared_ptr<EditBatch> batch, std::int64_t map_number, TimePoint now);
-  void on_change_end(const EditBatch& batch, const ChangeEnd& ended, TimePoint now);
+  void on_change_end(const EditBatch& batch, const ChangeResult& ended, TimePoint now);
   void commit(Edit& edit, const EditResult& result, const FleetState& state, TimePoint now);
   void adjust_deadline(Edit& edit, TimePoint now) const;
   bool is_expired(const Edit& edit, TimePoint now) const;
--- a/packages/control-plane/include/emberdale/replica_set_manager.hpp
+++ b/packages/control-plane/include/emberdale/replica_set_manager.hpp
@@ -86,7 +86,7 @@
   void send_bootstrap_requests();
   void end_bootstrap(ChangeStatus status, const std::string& reason);
   void propose_replacement(const ReadResponse& response, TimePoint now);
-  void on_replacement_end(const ChangeEnd& end);
+  void on_replacement_end(const ChangeResult& end);
   void end_replacement(ChangeStatus status, const std::string& reason);
   bool is_replacement_complete() const;
   void observe_store(const Address& from, const ReadResponse& response);
--- a/packages/control-plane/src/control_daemon.cpp
+++ b/packages/control-plane/src/control_daemon.cpp
@@ -98,12 +98,12 @@
   if (election_.is_master() && !lease_.is_waiting(now)) {
     Address self = settings_.self.address;
     proposer_.change(
-        [self](const FleetState& state) -> Verdict {
+        [self](const FleetState& state) -> ChangeDecision {
           if (state.master != self)
-            return {Verdict::Kind::already_there, {}, ""};
+            return {ChangeDecision::Kind::already_there, {}, ""};
           FleetState next = state;
           next.master = Address{};
-          return {Verdict::Kind::apply, next, ""};
+          return {ChangeDecision::Kind::apply, next, ""};
         },
         nullptr, now, resignation_timeout);
   }
--- a/packages/control-plane/src/control_membership.cpp
+++ b/packages/control-plane/src/control_membership.cpp
@@ -28,17 +28,17 @@
 }
 
 // Whether the claim may be written on that state: by a majority of the roster as it is there.
-Verdict judge_claim(const FleetState& state, const TermClaim& claim, const Address& claimant, bool is_promise_off,
+ChangeDecision judge_claim(const FleetState& state, const TermClaim& claim, const Address& claimant, bool is_promise_off,
                     bool is_at_once) {
   if (state.term == claim.expected_term + 1 && state.master == claimant)
-    return {Verdict::Kind::already_there, {}, ""};
+    return {ChangeDecision::Kind::already_there, {}, ""};
   if (state.term != claim.expected_term)
-    return {Verdict::Kind::refuse, {}, "another term has begun"};
+    return {ChangeDecision::Kind::refuse, {}, "another term has begun"};
   if (!has_daemon(state.roster, claimant))
-    return {Verdict::Kind::refuse, {}, "not enrolled"};
+    return {ChangeDecision::Kind::refuse, {}, "not enrolled"};
   if (count_joined(state.roster, claim, claimant) < state.roster.size() / 2 + 1)
-    return {Verdict::Kind::refuse, {}, "the roster has grown past the joins"};
-  return {Verdict::Kind::apply, LeaderLease::claimed(state, claim, claimant, is_promise_off, is_at_once), ""};
+    return {ChangeDecision::Kind::refuse, {}, "the roster has grown past the joins"};
+  return {ChangeDecision::Kind::apply, LeaderLease::claimed(state, claim, claimant, is_promise_off, is_at_once), ""};
 }
 
 }  // namespace
@@ -139,9 +139,9 @@
   proposer_.change([claim, self = settings_.self.address, is_promise_off = is_promise_off,
                     is_at_once = settings_.acknowledges_at_once](
                        const FleetState& state) { return judge_claim(state, claim, self, is_promise_off, is_at_once); },
-                   [this, now](const ChangeEnd& end) {
+                   [this, now](const ChangeResult& end) {
                      is_claiming_ = false;
-                     bool is_won = end.kind == ChangeEnd::Kind::committed;
+                     bool is_won = end.kind == ChangeResult::Kind::committed;
                      election_.on_claim_result(is_won, is_won ? end.state.term : 0, now);
                    },
                    now, claim_timeout);
--- a/packages/control-plane/src/control_process.cpp
+++ b/packages/control-plane/src/control_process.cpp
@@ -229,7 +229,7 @@
 void ControlProcess::take_snapshot() {
   auto state = std::make_shared<std::promise<std::string>>();
   auto copied = state->get_future();
-  boost::asio::post(context_, [this, state] { state->set_value(daemon_->acceptor()->picture()); });
+  boost::asio::post(context_, [this, state] { state->set_value(daemon_->acceptor()->snapshot()); });
   if (copied.wait_for(snapshot_timeout) != std::future_status::ready)
     return;
   auto taken = log_->snapshot(copied.get());
--- a/packages/control-plane/src/leader_lease.cpp
+++ b/packages/control-plane/src/leader_lease.cpp
@@ -69,16 +69,16 @@
   keep_next_ = now + keep_interval;
   tried_roster_ = roster;
   proposer_.change(
-      [roster, is_wait_over, term = state.term, self = self_](const FleetState& found) -> Verdict {
+      [roster, is_wait_over, term = state.term, self = self_](const FleetState& found) -> ChangeDecision {
         if (found.term != term || found.master != self)
-          return {Verdict::Kind::refuse, {}, "master no more"};
+          return {ChangeDecision::Kind::refuse, {}, "master no more"};
         FleetState next = found;
         next.lease_roster = roster;
         if (is_wait_over)
           next.acknowledgement_wait_ms = 0;
-        return {Verdict::Kind::apply, next, ""};
+        return {ChangeDecision::Kind::apply, next, ""};
       },
-      [this](const ChangeEnd&) { is_writing_ = false; }, now, keep_timeout);
+      [this](const ChangeResult&) { is_writing_ = false; }, now, keep_timeout);
 }
 
 }  // namespace emberdale
--- a/packages/control-plane/src/master_edits.cpp
+++ b/packages/control-plane/src/master_edits.cpp
@@ -33,11 +33,11 @@
 }
 
 // The response to a change that was not applied, or of which that is not known.
-EditResponse response_without_change(const EditResult& result, const ChangeEnd& ended) {
+EditResponse response_without_change(const EditResult& result, const ChangeResult& ended) {
   switch (ended.kind) {
-    case ChangeEnd::Kind::committed:
+    case ChangeResult::Kind::committed:
       return refusal_of(result);
-    case ChangeEnd::Kind::no_majority:
+    case ChangeResult::Kind::no_majority:
       return edit_failure(ChangeStatus::unavailable, ended.reason);
     default:
       return edit_failure(ChangeStatus::unknown, ended.reason + "; read it back");
@@ -45,8 +45,8 @@
 }
 
 // Whether the register holds the change: it was applied, or is there already.
-bool is_in_register(const EditResult& result, const ChangeEnd& ended) {
-  return ended.kind == ChangeEnd::Kind::committed && is_done(static_cast<ChangeStatus>(result.code));
+bool is_in_register(const EditResult& result, const ChangeResult& ended) {
+  return ended.kind == ChangeResult::Kind::committed && is_done(static_cast<ChangeStatus>(result.code));
 }
 }  // namespace
 
@@ -167,16 +167,16 @@
 
 void MasterEdits::write(std::shared_ptr<EditBatch> batch, std::int64_t map_number, TimePoint now) {
   proposer_.change(
-      [batch, term = election_.term(), self = self_, last = map_number - 1](const FleetState& state) -> Verdict {
+      [batch, term = election_.term(), self = self_, last = map_number - 1](const FleetState& state) -> ChangeDecision {
         bool is_leader = state.term == term && state.master == self;
         FleetState changed = state;
         if (!batch->work_out(changed, is_leader))
-          return {Verdict::Kind::already_there, {}, ""};
+          return {ChangeDecision::Kind::already_there, {}, ""};
         // One write makes the changes durable and fences every map that does not cover them.
         changed.minimum_version = MapVersion{term, std::max(last, state.minimum_version.number) + 1};
-        return {Verdict::Kind::apply, changed, ""};
+        return {ChangeDecision::Kind::apply, changed, ""};
       },
-      [this, batch, now](const ChangeEnd& end) { on_change_end(*batch, end, now); }, now, edit_timeout);
+      [this, batch, now](const ChangeResult& end) { on_change_end(*batch, end, now); }, now, edit_timeout);
 }
 
 EditBatch MasterEdits::next_batch() const {
@@ -193,10 +193,10 @@
   return batch;
 }
 
-void MasterEdits::on_change_end(const EditBatch& batch, const ChangeEnd& ended, TimePoint now) {
+void MasterEdits::on_change_end(const EditBatch& batch, const ChangeResult& ended, TimePoint now) {
   is_in_flight_ = false;
   in_flight_.clear();
-  if (ended.kind == ChangeEnd::Kind::unknown)
+  if (ended.kind == ChangeResult::Kind::unknown)
     is_outcome_open_ = true;
   for (const auto& worked_out : batch.edits) {
     auto edit = std::find_if(edits_.begin(), edits_.end(), [&](const Edit& other) {
@@ -205,7 +205,7 @@
     if (edit == edits_.end())
       continue;
     bool has_conflicting_id = static_cast<ChangeStatus>(worked_out.result.code) == ChangeStatus::conflict;
-    if (has_conflicting_id && ended.kind == ChangeEnd::Kind::committed)
+    if (has_conflicting_id && ended.kind == ChangeResult::Kind::committed)
       count_conflicting_id(*edit, now);
     if (is_in_register(worked_out.result, ended))
       commit(*edit, worked_out.result, ended.state, now);
@@ -280,10 +280,10 @@
   // The newest value is written once more: once that is chosen, it is known whether the earlier write was.
   proposer_.change(
       [](const FleetState&) {
-        return Verdict{Verdict::Kind::already_there, {}, ""};
+        return ChangeDecision{ChangeDecision::Kind::already_there, {}, ""};
       },
-      [this](const ChangeEnd& end) {
-        if (end.kind == ChangeEnd::Kind::committed)
+      [this](const ChangeResult& end) {
+        if (end.kind == ChangeResult::Kind::committed)
           is_outcome_open_ = false;
       },
       now, confirmation_timeout);
--- a/packages/control-plane/src/membership_reconciler.cpp
+++ b/packages/control-plane/src/membership_reconciler.cpp
@@ -25,7 +25,8 @@
 constexpr Duration longest_pause{1000};      // between two timers: after a longer one silences are counted anew
 constexpr int most_overtaken = 2;
 
-bool is_same_set(const std::vector<AcceptorEntry>& a, const std::vector<AcceptorEntry>& b) {
+// The same members in the same order; is_same_set() of the proposer ignores the order.
+bool is_same_list(const std::vector<AcceptorEntry>& a, const std::vector<AcceptorEntry>& b) {
   return std::equal(a.begin(), a.end(), b.begin(), b.end(), [](const auto& one, const auto& other) {
     return one.store == other.store && one.address == other.address;
   });
@@ -112,7 +113,7 @@
 
 void MembershipReconciler::observe_set(TimePoint now) {
   const FleetState& state = proposer_.state();
-  if (!is_same_set(observed_set_, state.acceptors)) {
+  if (!is_same_list(observed_set_, state.acceptors)) {
     bool is_first = observed_set_.empty();
     observed_set_ = state.acceptors;
     if (!is_first)
@@ -246,14 +247,14 @@
 // Carries out what was planned only on the very set, and in the term, that it was planned for.
 SetChange MembershipReconciler::guarded(const MembershipChange& planned, const DecisionRight& right) const {
   auto change = [planned, set = proposer_.state().acceptors, right,
-                 self = self_.address](const FleetState& found) -> Verdict {
+                 self = self_.address](const FleetState& found) -> ChangeDecision {
     bool is_term_over = right.kind != DecisionRight::Kind::none && found.term != right.term;
     bool is_deposed = right.kind == DecisionRight::Kind::master && found.master != self;
-    if (is_term_over || is_deposed || !found.next_acceptors.empty() || !is_same_set(found.acceptors, set))
-      return {Verdict::Kind::already_there, {}, ""};
+    if (is_term_over || is_deposed || !found.next_acceptors.empty() || !is_same_list(found.acceptors, set))
+      return {ChangeDecision::Kind::already_there, {}, ""};
     FleetState next = found;
     next.next_acceptors = planned.applied_to(found.acceptors);
-    return {Verdict::Kind::apply, next, ""};
+    return {ChangeDecision::Kind::apply, next, ""};
   };
   return SetChange{std::move(change), planned.kind, planned.detail()};
 }
@@ -269,7 +270,7 @@
     ++learner.overtaken;
     learner.is_refusing = false;
     auto rewrite = [](const FleetState& state) {
-      return Verdict{Verdict::Kind::apply, state, ""};
+      return ChangeDecision{ChangeDecision::Kind::apply, state, ""};
     };
     return SetChange{rewrite, "overtaking", address.text};
   }
--- a/packages/control-plane/src/membership_registry.cpp
+++ b/packages/control-plane/src/membership_registry.cpp
@@ -27,10 +27,10 @@
 }
 
 // Adds the newcomers, of which the first one replaces an older entry of its own.
-Verdict add_to_roster(const FleetState& state, const Roster& newcomers) {
+ChangeDecision add_to_roster(const FleetState& state, const Roster& newcomers) {
   const DaemonEntry& first = newcomers.front();
   if (has_same_entry(state.roster, first))
-    return {Verdict::Kind::already_there, {}, ""};
+    return {ChangeDecision::Kind::already_there, {}, ""};
   FleetState next = state;
   for (const auto& newcomer : newcomers) {
     bool is_first = newcomer.address == first.address;
@@ -41,15 +41,15 @@
   }
   std::sort(next.roster.begin(), next.roster.end(),
             [](const auto& one, const auto& other) { return one.address < other.address; });
-  return {Verdict::Kind::apply, next, ""};
+  return {ChangeDecision::Kind::apply, next, ""};
 }
 
-Verdict remove_from_roster(const FleetState& state, const std::set<Address>& members) {
+ChangeDecision remove_from_roster(const FleetState& state, const std::set<Address>& members) {
   FleetState next = state;
   remove_if(next.roster, [&](const auto& entry) { return members.count(entry.address) != 0; });
   if (next.roster.size() == state.roster.size())
-    return {Verdict::Kind::already_there, {}, ""};
-  return {Verdict::Kind::apply, next, ""};
+    return {ChangeDecision::Kind::already_there, {}, ""};
+  return {ChangeDecision::Kind::apply, next, ""};
 }
 }  // namespace
 
@@ -78,10 +78,10 @@
   is_enrolling_ = true;
   proposer_.change(
       [newcomers = std::move(newcomers)](const FleetState& state) { return add_to_roster(state, newcomers); },
-      [this, now](const ChangeEnd& end) {
+      [this, now](const ChangeResult& end) {
         is_enrolling_ = false;
         enrol_next_ = now + Duration{200 + random_.below(400)};
-        if (end.kind != ChangeEnd::Kind::committed)
+        if (end.kind != ChangeResult::Kind::committed)
           return;
         ++counts_.enrolled;
         journal_.append(now, "enrolled", self_.address.text);
@@ -122,9 +122,9 @@
 void MembershipRegistry::remove_members(const std::set<Address>& members, TimePoint now) {
   is_evicting_ = true;
   proposer_.change([members](const FleetState& state) { return remove_from_roster(state, members); },
-                   [this, members, now](const ChangeEnd& end) {
+                   [this, members, now](const ChangeResult& end) {
                      is_evicting_ = false;
-                     if (end.kind != ChangeEnd::Kind::committed)
+                     if (end.kind != ChangeResult::Kind::committed)
                        return;
                      counts_.dead_members_evicted += static_cast<std::int64_t>(members.size());
                      for (const auto& member : members) {
--- a/packages/control-plane/src/replica_set_manager.cpp
+++ b/packages/control-plane/src/replica_set_manager.cpp
@@ -21,12 +21,12 @@
   return std::any_of(set.begin(), set.end(), [&](const auto& entry) { return entry.address == address; });
 }
 
-Verdict refuse(const std::string& reason) { return {Verdict::Kind::refuse, {}, reason}; }
+ChangeDecision refuse(const std::string& reason) { return {ChangeDecision::Kind::refuse, {}, reason}; }
 
-Verdict already_there() { return {Verdict::Kind::already_there, {}, ""}; }
+ChangeDecision already_there() { return {ChangeDecision::Kind::already_there, {}, ""}; }
 
 // Begins to put `fresh` in the place of the replica at `old_address`, if the state allows that.
-Verdict begin_replacement(const FleetState& state, const Address& old_address, const AcceptorEntry& fresh,
+ChangeDecision begin_replacement(const FleetState& state, const Address& old_address, const AcceptorEntry& fresh,
                           bool is_blank) {
   if (has_store(state.next_acceptors, fresh.store))
     return already_there();
@@ -48,23 +48,23 @@
   for (auto& entry : next.next_acceptors)
     if (entry.address == old_address)
       entry = fresh;
-  return {Verdict::Kind::apply, next, ""};
+  return {ChangeDecision::Kind::apply, next, ""};
 }
 
 // Puts the next set in the place of the old one.
-Verdict finish_joint_change(const FleetState& state) {
+ChangeDecision finish_joint_change(const FleetState& state) {
   if (state.next_acceptors.empty())
     return already_there();
   FleetState next = state;
   next.acceptors = state.next_acceptors;
   next.next_acceptors.clear();
-  return {Verdict::Kind::apply, next, ""};
+  return {ChangeDecision::Kind::apply, next, ""};
 }
 
-ChangeStatus status_of(const ChangeEnd& end) {
-  if (end.kind == ChangeEnd::Kind::refused)
+ChangeStatus status_of(const ChangeResult& end) {
+  if (end.kind == ChangeResult::Kind::refused)
     return ChangeStatus::conflict;
-  return end.kind == ChangeEnd::Kind::no_majority ? ChangeStatus::unavailable : ChangeStatus::unknown;
+  return end.kind == ChangeResult::Kind::no_majority ? ChangeStatus::unavailable : ChangeStatus::unknown;
 }
 
 }  // namespace
@@ -186,14 +186,14 @@
     return begin_replacement(state, old_address, fresh, is_blank);
   };
   proposer_.change(
-      std::move(change), [this](const ChangeEnd& end) { on_replacement_end(end); }, now, proposal_timeout);
+      std::move(change), [this](const ChangeResult& end) { on_replacement_end(end); }, now, proposal_timeout);
 }
 
-void ReplicaSetManager::on_replacement_end(const ChangeEnd& end) {
+void ReplicaSetManager::on_replacement_end(const ChangeResult& end) {
   if (!replacement_)
     return;
   repair_next_ = TimePoint{0};  // the second half at once
-  if (end.kind != ChangeEnd::Kind::committed)
+  if (end.kind != ChangeResult::Kind::committed)
     return end_replacement(status_of(end), end.reason);
   bool is_joint_change_over = end.state.next_acceptors.empty();
   if (is_joint_change_over)
@@ -219,7 +219,7 @@
       continue;
     if (reconciler_ != nullptr)
       return reconciler_->readmission(old, fresh->second, now);
-    auto change = [old, renewed = AcceptorEntry{fresh->second, old.address}](const FleetState& found) -> Verdict {
+    auto change = [old, renewed = AcceptorEntry{fresh->second, old.address}](const FleetState& found) -> ChangeDecision {
       auto is_old = [&](const auto& entry) {
         return entry.store == old.store;
       };
@@ -228,7 +228,7 @@
       FleetState next = found;
       next.next_acceptors = found.acceptors;
       std::replace_if(next.next_acceptors.begin(), next.next_acceptors.end(), is_old, renewed);
-      return {Verdict::Kind::apply, next, ""};
+      return {ChangeDecision::Kind::apply, next, ""};
     };
     return SetChange{std::move(change), "admitting", fresh->second.text + " at " + old.address.text};
   }
@@ -264,7 +264,7 @@
   is_repairing_ = true;
   proposer_.change(
       std::move(due->change),
-      [this](const ChangeEnd&) {
+      [this](const ChangeResult&) {
         is_repairing_ = false;
         repair_next_ = TimePoint{0};
       },
--- a/packages/control-plane/tests/support/machine_fleet.cpp
+++ b/packages/control-plane/tests/support/machine_fleet.cpp
@@ -212,7 +212,7 @@
   ASSERT_TRUE(machine.log->sync());
   machine.control->synced(last_token, clock(machine));
   if (machine.log->wants_snapshot())
-    machine.log->snapshot(machine.control->acceptor()->picture());
+    machine.log->snapshot(machine.control->acceptor()->snapshot());
   machine.is_writing = false;
   flush(machine);
 }
--- a/packages/fleet-simulator/src/fleet_simulation.cpp
+++ b/packages/fleet-simulator/src/fleet_simulation.cpp
@@ -352,7 +352,7 @@
         flush(awake);
       });
       if (!woken.is_frozen && woken.log->wants_snapshot()) {
-        std::string picture = woken.control->acceptor()->picture();
+        std::string picture = woken.control->acceptor()->snapshot();
         trace(TraceEvent::disk_snapshot, name, picture);
         woken.log->snapshot(picture);
       }
--- a/packages/fleet-simulator/src/scale_fleet.cpp
+++ b/packages/fleet-simulator/src/scale_fleet.cpp
@@ -236,7 +236,7 @@
   daemon.has_power = !takes_power;
   ++daemon.incarnation;
   if (daemon.role == "core")
-    daemon.picture = daemon.control->acceptor()->picture();
+    daemon.picture = daemon.control->acceptor()->snapshot();
   if (daemon.control)
     rounds_before_ -= daemon.control->proposer().counts().rounds;  // what it did still counts
   daemon.control.reset();
--- a/packages/fleet-starter/include/emberdale/fleet_of_processes.hpp
+++ b/packages/fleet-starter/include/emberdale/fleet_of_processes.hpp
@@ -70,7 +70,7 @@
   // GET of a page of one process; nothing if it does not answer.
   std::optional<std::string> page(const std::string& http, const std::string& path) const;
   std::optional<std::string> post(const std::string& http, const std::string& path, const std::string& body) const;
-  nlohmann::json picture() const;
+  nlohmann::json snapshot() const;
   const std::string& folder() const { return folder_; }
   const std::string& deployment() const { return deployment_; }
 
--- a/packages/fleet-starter/src/fleet_of_processes.cpp
+++ b/packages/fleet-starter/src/fleet_of_processes.cpp
@@ -327,7 +327,7 @@
       std::this_thread::sleep_for(std::chrono::milliseconds(20));
     }
   }
-  std::ofstream(folder_ + "/fleet.json") << picture().dump(2) << "\n";
+  std::ofstream(folder_ + "/fleet.json") << snapshot().dump(2) << "\n";
   return true;
 }
 
@@ -480,7 +480,7 @@
   return true;
 }
 
-Json FleetOfProcesses::picture() const {
+Json FleetOfProcesses::snapshot() const {
   Json list = Json::array();
   for (const auto& [name, process] : processes_)
     list.push_back({{"name", name},
--- a/packages/model-checker/src/register_world.cpp
+++ b/packages/model-checker/src/register_world.cpp
@@ -63,7 +63,7 @@
         node.machine.synced(write.token);
       node.machine.drain_outbound();
     }
-    node.disk = node.machine.picture();
+    node.disk = node.machine.snapshot();
     node.print = StateInspector::print(node.machine);
     acceptors_.push_back(std::make_shared<AcceptorNode>(std::move(node)));
   }
@@ -148,7 +148,7 @@
   Ballot before = node.machine.accepted();
   node.machine.synced(node.unsynced.back());
   node.unsynced.clear();
-  node.disk = node.machine.picture();
+  node.disk = node.machine.snapshot();
   auto out = node.machine.drain_outbound();
   node.print = StateInspector::print(node.machine);
   send(index, std::move(out));
@@ -174,7 +174,7 @@
   if (scenario_->fault != InjectedFault::keeps_wiped_store)
     ++node.incarnation;
   node.machine = RegisterAcceptor(store_of(index, node.incarnation));
-  node.disk = node.machine.picture();
+  node.disk = node.machine.snapshot();
   node.unsynced.clear();
   node.print = StateInspector::print(node.machine);
   check_acknowledged();
--- a/packages/model-checker/src/register_world_invariants.cpp
+++ b/packages/model-checker/src/register_world_invariants.cpp
@@ -18,8 +18,8 @@
   auto history = std::make_shared<History>(*history_);
   for (const auto& [order, end] : ends) {
     ended_.insert(order);
-    bool is_committed = end.kind == ChangeEnd::Kind::committed;
-    bool is_refused = end.kind == ChangeEnd::Kind::refused || end.kind == ChangeEnd::Kind::no_majority;
+    bool is_committed = end.kind == ChangeResult::Kind::committed;
+    bool is_refused = end.kind == ChangeResult::Kind::refused || end.kind == ChangeResult::Kind::no_majority;
     events_.push_back(mark_of(order) + (is_committed
                                             ? " is acknowledged at version " + std::to_string(end.state.version)
                                         : is_refused ? " is refused: " + end.reason
@@ -160,7 +160,7 @@
 // Delivers what the proposer sends to those acceptors that are there, and their responses to it, until it sends nothing
 // more or the order has ended.
 void exchange_until_quiet(RegisterProposer& proposer, const Address& proposer_address, AcceptorsByAddress& acceptors,
-                          TimePoint now, const std::optional<ChangeEnd>& end) {
+                          TimePoint now, const std::optional<ChangeResult>& end) {
   for (auto requests = proposer.drain_outbound(); !requests.empty() && !end; requests = proposer.drain_outbound())
     for (const auto& request : requests) {
       auto target = acceptors.find(request.to);
@@ -175,15 +175,15 @@
 }
 
 // Appends the mark by a new proposer at the acceptors; nothing: the order does not end within the bound of rounds.
-std::optional<ChangeEnd> append_at(AcceptorsByAddress& acceptors, const std::vector<AcceptorEntry>& known_set,
-                                   const std::string& mark) {
+std::optional<ChangeResult> append_at(AcceptorsByAddress& acceptors, const std::vector<AcceptorEntry>& known_set,
+                                      const std::string& mark) {
   Address judge_address{"judge"};
   RegisterProposer judge(judge_address, RandomGenerator(1));
   judge.learn_acceptors(known_set);
-  std::optional<ChangeEnd> end;
+  std::optional<ChangeResult> end;
   TimePoint now{0};
   judge.change([mark](const FleetState& state) { return append(state, mark, 0); },
-               [&end](const ChangeEnd& ended) { end = ended; }, now, order_timeout);
+               [&end](const ChangeResult& ended) { end = ended; }, now, order_timeout);
   for (int round = 0; round < probe_rounds && !end; ++round) {
     exchange_until_quiet(judge, judge_address, acceptors, now, end);
     now = now + past_any_phase;
@@ -203,8 +203,8 @@
     machines.emplace(acceptor_address(index), std::move(machine));
     names += " " + acceptor_address(index).text;
   }
-  std::optional<ChangeEnd> end = append_at(machines, history_->newest.acceptors, mark_of(scenario_->orders.size()));
-  if (!end || end->kind != ChangeEnd::Kind::committed)
+  std::optional<ChangeResult> end = append_at(machines, history_->newest.acceptors, mark_of(scenario_->orders.size()));
+  if (!end || end->kind != ChangeResult::Kind::committed)
     return "the majority" + names + " can't commit any more";
   for (const auto& [order, version] : history_->acknowledged) {
     std::string mark = mark_of(static_cast<std::size_t>(order));
--- a/packages/model-checker/src/register_world_nodes.hpp
+++ b/packages/model-checker/src/register_world_nodes.hpp
@@ -39,7 +39,7 @@
 // How an order ended, as the callback of its proposer was told.
 struct OrderEnd {
   std::size_t order;
-  ChangeEnd end;
+  ChangeResult end;
 };
 // Where the callbacks of the machine that acts now leave their ends: a copied machine keeps no pointer to its world.
 std::vector<OrderEnd>& pending_order_ends();
@@ -57,9 +57,9 @@
 // --- states and the changes that orders make ---
 bool holds_mark(const FleetState& state, const std::string& mark);
 bool holds_store(const std::vector<AcceptorEntry>& set, const StoreId& store);
-Verdict append(const FleetState& state, const std::string& mark, std::int64_t term);
-Verdict claim(const FleetState& state, std::int64_t expected, const Address& self);
-Verdict finish_joint_change(const FleetState& state);
+ChangeDecision append(const FleetState& state, const std::string& mark, std::int64_t term);
+ChangeDecision claim(const FleetState& state, std::int64_t expected, const Address& self);
+ChangeDecision finish_joint_change(const FleetState& state);
 
 // --- messages ---
 std::string show(const Message& message);
--- a/packages/model-checker/src/register_world_orders.cpp
+++ b/packages/model-checker/src/register_world_orders.cpp
@@ -14,31 +14,31 @@
   return std::any_of(set.begin(), set.end(), [&](const auto& entry) { return entry.store == store; });
 }
 
-Verdict append(const FleetState& state, const std::string& mark, std::int64_t term) {
+ChangeDecision append(const FleetState& state, const std::string& mark, std::int64_t term) {
   if (holds_mark(state, mark))
-    return {Verdict::Kind::already_there, {}, ""};
+    return {ChangeDecision::Kind::already_there, {}, ""};
   FleetState next = state;
   next.completed_changes.push_back({mark, 0, term});
-  return {Verdict::Kind::apply, next, ""};
+  return {ChangeDecision::Kind::apply, next, ""};
 }
 
-Verdict claim(const FleetState& state, std::int64_t expected, const Address& self) {
+ChangeDecision claim(const FleetState& state, std::int64_t expected, const Address& self) {
   if (state.term == expected + 1 && state.master == self)
-    return {Verdict::Kind::already_there, {}, ""};
+    return {ChangeDecision::Kind::already_there, {}, ""};
   if (state.term != expected)
-    return {Verdict::Kind::refuse, {}, "another term has begun"};
+    return {ChangeDecision::Kind::refuse, {}, "another term has begun"};
   FleetState next = state;
   next.term = expected + 1;
   next.master = self;
-  return {Verdict::Kind::apply, next, ""};
+  return {ChangeDecision::Kind::apply, next, ""};
 }
 
-Verdict finish_joint_change(const FleetState& state) {
+ChangeDecision finish_joint_change(const FleetState& state) {
   if (state.next_acceptors.empty())
-    return {Verdict::Kind::already_there, {}, ""};
+    return {ChangeDecision::Kind::already_there, {}, ""};
   FleetState next = state;
   next.acceptors = std::exchange(next.next_acceptors, {});
-  return {Verdict::Kind::apply, next, ""};
+  return {ChangeDecision::Kind::apply, next, ""};
 }
 
 Change RegisterWorld::replacement() const {
@@ -60,15 +60,15 @@
     }
   if (!fresh)
     return nullptr;
-  return [old = *old, fresh = *fresh](const FleetState& state) -> Verdict {
+  return [old = *old, fresh = *fresh](const FleetState& state) -> ChangeDecision {
     if (!state.next_acceptors.empty() || !holds_store(state.acceptors, old.store))
-      return {Verdict::Kind::already_there, {}, ""};
+      return {ChangeDecision::Kind::already_there, {}, ""};
     FleetState next = state;
     next.next_acceptors = state.acceptors;
     for (auto& entry : next.next_acceptors)
       if (entry.store == old.store)
         entry = fresh;
-    return {Verdict::Kind::apply, next, ""};
+    return {ChangeDecision::Kind::apply, next, ""};
   };
 }
 
@@ -88,9 +88,9 @@
       };
     }
     case OrderKind::leader_append:
-      return [mark, self, term = node.won_term](const FleetState& state) -> Verdict {
+      return [mark, self, term = node.won_term](const FleetState& state) -> ChangeDecision {
         if (state.term != term || state.master != self)
-          return {Verdict::Kind::refuse, {}, "master no more"};
+          return {ChangeDecision::Kind::refuse, {}, "master no more"};
         return append(state, mark, term);
       };
     case OrderKind::replace_member:
@@ -123,7 +123,7 @@
   node.arguments.add(order).add(static_cast<std::uint64_t>(node.won_term)).add(fingerprint_of_arguments(order));
   node.machine.change(
       std::move(change),
-      [order](const ChangeEnd& end) {
+      [order](const ChangeResult& end) {
         pending_order_ends().push_back({order, end});
       },
       node.clock, order_timeout);
--- a/packages/model-checker/src/state_inspector.cpp
+++ b/packages/model-checker/src/state_inspector.cpp
@@ -26,40 +26,40 @@
     add_set(own, proposer.next_acceptors_);
   }
   own.add(proposer.highest_seen_).add(proposer.has_state_ ? 1 : 0).add(proposer.state_ballot_);
-  own.add(proposer.state_bytes_.data).add(proposer.waiting_.size());
-  own.add(static_cast<std::uint64_t>(proposer.split_reads_));
+  own.add(proposer.state_bytes_.data).add(proposer.queued_changes_.size());
+  own.add(static_cast<std::uint64_t>(proposer.split_reads_in_a_row_));
   own.add(proposer.current_ ? 1 : 0);
   if (proposer.current_) {
     const auto& round = *proposer.current_;
-    std::int64_t left = (round.job.deadline - clock).value;
+    std::int64_t left = (round.change.deadline - clock).value;
     own.add(static_cast<std::uint64_t>(round.phase))
         .add(round.ballot)
-        .add(round.highest)
-        .add(round.found_value_bytes.data);
+        .add(round.highest_ballot)
+        .add(round.found_value.data);
     // What is proposed follows from the value found and the job.
-    own.add(round.is_carrying ? 1 : 0).add(round.job.was_accept_sent ? 1 : 0).add(round.job.done ? 1 : 0);
-    own.add(static_cast<std::uint64_t>(std::min(left, far_off))).add(static_cast<std::uint64_t>(round.end.kind));
-    for (const auto& ballot : round.seen)
+    own.add(round.is_carrying_found ? 1 : 0).add(round.change.was_accept_sent ? 1 : 0).add(round.change.done ? 1 : 0);
+    own.add(static_cast<std::uint64_t>(std::min(left, far_off))).add(static_cast<std::uint64_t>(round.result.kind));
+    for (const auto& ballot : round.seen_ballots)
       own.add(ballot);
     for (const auto& store : round.granted)
       each[place(store)].add(1).add(incarnation_of(store));
     // Which base a store holds decides about deltas alone, and the values here are far too small for these.
-    for (const auto& store : round.asked)
+    for (const auto& store : round.recipients)
       each[place(store)].add(3).add(incarnation_of(store));
   }
   own.add(proposer.read_ ? 1 : 0);
   if (proposer.read_) {
     const auto& read = *proposer.read_;
-    own.add(read.highest).add(read.begun == proposer.confirmed_at_ ? 1 : 0);
-    own.add(read.ask == proposer.confirmed_read_ ? 1 : 0).add(read.is_over ? 1 : 0);
+    own.add(read.highest_ballot).add(read.started_at == proposer.confirmed_at_ ? 1 : 0);
+    own.add(read.request_id == proposer.confirmed_read_ ? 1 : 0).add(read.is_finished ? 1 : 0);
     if (!is_symmetric) {
       add_set(own, read.acceptors);
-      add_set(own, read.next);
+      add_set(own, read.next_acceptors);
     }
-    for (const auto& [store, ballot] : read.answers)
+    for (const auto& [store, ballot] : read.ballots)
       each[place(store)].add(2).add(incarnation_of(store)).add(ballot);
   }
-  own.add(proposer.wants_whole_ ? 1 : 0);
+  own.add(proposer.wants_full_value_ ? 1 : 0);
   for (const auto& [ballot, state] : proposer.read_states_)
     own.add(ballot).add(encode_state(state));
   ProposerFingerprint result;
@@ -71,18 +71,21 @@
 
 std::uint64_t StateInspector::print(const RegisterAcceptor& acceptor) {
   Fingerprint print;
-  for (const auto* record : {&acceptor.ahead_, &acceptor.synced_})
+  for (const auto* record : {&acceptor.latest_, &acceptor.synced_})
     print.add(record->promised).add(record->accepted).add(record->value.data);
   print.add(acceptor.previous_ballot_);  // a read's answer may be a delta from it
-  for (const auto& held : acceptor.held_)
-    print.add(held.after.promised).add(held.after.accepted).add(held.answer.to.text).add(held.answer.message.index());
+  for (const auto& write : acceptor.pending_writes_)
+    print.add(write.after.promised)
+        .add(write.after.accepted)
+        .add(write.response.to.text)
+        .add(write.response.message.index());
   return print.value();
 }
 
 RequestClass StateInspector::request_class(const RegisterProposer& proposer, std::int64_t ask) {
-  if (proposer.current_ && proposer.current_->ask == ask)
+  if (proposer.current_ && proposer.current_->request_id == ask)
     return RequestClass::round;
-  return proposer.read_ && proposer.read_->ask == ask ? RequestClass::read : RequestClass::stale;
+  return proposer.read_ && proposer.read_->request_id == ask ? RequestClass::read : RequestClass::stale;
 }
 
 }  // namespace emberdale
--- a/packages/segmented-log/include/emberdale/segmented_log.hpp
+++ b/packages/segmented-log/include/emberdale/segmented_log.hpp
@@ -1,5 +1,9 @@
-// A log in segments with snapshots beside it, for a state whose newest record says it all.
+// A log of records in segments, with snapshots beside it, for a state whose newest record says all of it.
+//
+// Files: `identity` (the store's id), `segment-N` (records, see log_frames.hpp) and `snapshot-N` (the whole state
+// before segment N). Not safe for use by several threads at once.
 #pragma once
+#include <cstdint>
 #include <memory>
 #include <string>
 #include <vector>
@@ -8,52 +12,80 @@
 
 namespace emberdale {
 
-// What opening a folder found.
+// What opening a folder has found.
 struct LogOpening {
-  StoreId store;                     // the identity on disk, made anew for a blank folder
+  StoreId store;                     // the identity on disk; made by this opening for a blank folder
   bool is_new = false;               // the identity was made by this opening
   bool was_corrupt = false;          // the old content was set aside: this is a NEW store
-  std::string finding;               // what was dropped or set aside, in words
+  std::string finding;               // what was dropped or set aside, for the log; empty if nothing
   std::vector<std::string> records;  // the snapshot first (if any), then each record after it
 };
 
 // Example:
 //   SegmentedLog log(files, 1 << 20);
-//   auto opening = log.open("fresh-id");       // replays; never reads corruption as empty
-//   log.append({"record"}); log.sync();        // durable from here on
-//   if (log.wants_snapshot()) log.snapshot("whole state");
+//   auto opening = log.open("fresh-id");
+//   log.append({"record"});
+//   log.sync();  // durable from here on
+//   if (log.wants_snapshot())
+//     log.snapshot("whole state");
 class SegmentedLog {
  public:
+  // `segment_bound`: size of a segment in bytes from which on a snapshot is wanted.
   SegmentedLog(std::shared_ptr<FileSystem> files, std::size_t segment_bound);
 
-  // Fails only on an error of the disk itself. Example: log.open(random_store_id())
+  // Replays the folder. A torn tail of the last segment is dropped; any other damage sets all files aside and begins a
+  // new store with the id `fresh_store`: corruption is never read as empty. Fails only on an error of the disk.
   Outcome<LogOpening> open(const std::string& fresh_store);
 
-  // Refused whole: a part that was written is taken back. Example: log.append({a, b})
+  // Adds the records as one write, which is not durable before sync(). On an error nothing is added: a part that was
+  // written is taken back.
   Outcome<bool> append(const std::vector<std::string>& records);
 
-  // After a failed sync nothing is known of the disk: the caller must stop.
+  // Makes all that was appended durable. After an error nothing is known of the disk: the caller must stop.
   Outcome<bool> sync();
 
   bool wants_snapshot() const { return size_ >= segment_bound_; }
-  // Writes the whole state beside the log, starts the next segment, removes what is covered.
+  // Writes the whole state beside the log, starts the next segment, and removes what the snapshot covers.
   Outcome<bool> snapshot(const std::string& state);
 
-  // True once a fault left the disk in a state that only a restart can read again.
+  // True once an error left the disk in a state that only a restart can read again.
   bool must_stop() const { return must_stop_; }
+  // Number of the segment that records are added to.
   std::int64_t segment() const { return segment_; }
 
  private:
+  struct FolderContent {
+    std::vector<std::string> names;
+    std::vector<std::int64_t> segments, snapshots;  // numbers, ascending
+    bool has_identity = false;
+  };
+  struct Replay {
+    LogOpening opening;
+    std::string corruption;  // what is damaged; empty if nothing is
+    std::int64_t start = 1;  // number of the snapshot, and of the first segment after it
+  };
+
   std::string segment_file(std::int64_t number) const;
   std::string snapshot_file(std::int64_t number) const;
+  Outcome<FolderContent> list_folder();
+  // The steps of open(): each reads one kind of file, and fails only on an error of the disk.
+  Outcome<bool> replay(const FolderContent& content, Replay& replay);
+  Outcome<bool> read_identity(const FolderContent& content, Replay& replay);
+  Outcome<bool> read_snapshot(const FolderContent& content, Replay& replay);
+  Outcome<bool> read_segments(const FolderContent& content, Replay& replay);
+  Outcome<bool> read_segment(std::int64_t number, bool is_last, Replay& replay);
+  Outcome<bool> begin_new_store(const FolderContent& content, Replay& replay);
+  void remove_covered_files(const FolderContent& content, std::int64_t start);
+  Outcome<bool> create_segment(std::int64_t number);
+  // Writes a file of one record under another name first, so that it is whole or not there.
   Outcome<bool> write_whole(const std::string& file, const std::string& content);
   Outcome<bool> set_aside(const std::vector<std::string>& names);
 
   std::shared_ptr<FileSystem> files_;
-  std::size_t segment_bound_;
-  std::int64_t segment_ = 1;
-  std::size_t size_ = 0;  // good bytes in the open segment
-  bool must_stop_ = false;
+  const std::size_t segment_bound_;
+  std::int64_t segment_ = 1;  // the open segment
+  std::size_t size_ = 0;      // valid bytes in the open segment
+  bool must_stop_ = false;    // set by any error after which the open segment's content is not known
 };
 
 }  // namespace emberdale
