--- a/packages/control-plane/src/control_membership.cpp
+++ b/packages/control-plane/src/control_membership.cpp
@@ -28,8 +28,8 @@
 }
 
 // Whether the claim may be written on that state: by a majority of the roster as it is there.
-ChangeDecision judge_claim(const FleetState& state, const TermClaim& claim, const Address& claimant, bool is_promise_off,
-                    bool is_at_once) {
+ChangeDecision judge_claim(const FleetState& state, const TermClaim& claim, const Address& claimant,
+                           bool is_promise_off, bool is_at_once) {
   if (state.term == claim.expected_term + 1 && state.master == claimant)
     return {ChangeDecision::Kind::already_there, {}, ""};
   if (state.term != claim.expected_term)
--- a/packages/control-plane/src/replica_set_manager.cpp
+++ b/packages/control-plane/src/replica_set_manager.cpp
@@ -27,7 +27,7 @@
 
 // Begins to put `fresh` in the place of the replica at `old_address`, if the state allows that.
 ChangeDecision begin_replacement(const FleetState& state, const Address& old_address, const AcceptorEntry& fresh,
-                          bool is_blank) {
+                                 bool is_blank) {
   if (has_store(state.next_acceptors, fresh.store))
     return already_there();
   if (has_store(state.acceptors, fresh.store)) {
@@ -219,7 +219,8 @@
       continue;
     if (reconciler_ != nullptr)
       return reconciler_->readmission(old, fresh->second, now);
-    auto change = [old, renewed = AcceptorEntry{fresh->second, old.address}](const FleetState& found) -> ChangeDecision {
+    auto change = [old,
+                   renewed = AcceptorEntry{fresh->second, old.address}](const FleetState& found) -> ChangeDecision {
       auto is_old = [&](const auto& entry) {
         return entry.store == old.store;
       };
