--- a/packages/call-routing/tests/route_dispatcher_test.cpp
+++ b/packages/call-routing/tests/route_dispatcher_test.cpp
@@ -802,7 +802,7 @@
     RunnerName runner;
     PoolName of;
   };
-  struct Letter {
+  struct InFlightMessage {
     TimePoint at;
     std::shared_ptr<const RoutingView> view;
     TimePoint said;
@@ -813,7 +813,7 @@
     std::unique_ptr<RouteDispatcher> dispatcher;
     std::shared_ptr<const RoutingView> view;
     std::map<CallIndex, OpenCallTotals> calls;
-    std::deque<Letter> mail;
+    std::deque<InFlightMessage> mail;
     TimePoint cut_until{-1}, down_until{-1}, warming_up_until{-1};
     std::map<RunnerName, std::deque<std::pair<TimePoint, std::int64_t>>> shares;  // since when it held which
   };
@@ -1036,7 +1036,7 @@
           continue;
         }
         while (!daemon.mail.empty() && daemon.mail.front().at <= now) {
-          Letter letter = daemon.mail.front();
+          InFlightMessage letter = daemon.mail.front();
           daemon.mail.pop_front();
           daemon.view = letter.view;
           daemon.warming_up_until = letter.said + WarmupAllocator::lease;
--- a/packages/configuration-register/tests/configuration_register_test.cpp
+++ b/packages/configuration-register/tests/configuration_register_test.cpp
@@ -145,7 +145,7 @@
   }
 }
 
-TEST(ConfigurationRegister, ReadsMendTheCopiesThatTheyFindOld) {
+TEST(ConfigurationRegister, ReadsRepairTheReplicasThatTheyFindStale) {
   RegisterBench bench(9);
   bench.add_proposer("one");
   bench.stop(RegisterBench::place(2), false);
--- a/packages/configuration-register/tests/register_bench.hpp
+++ b/packages/configuration-register/tests/register_bench.hpp
@@ -167,19 +167,19 @@
     std::unique_ptr<RegisterAcceptor> acceptor;
     int starts = 0;
   };
-  struct Letter {
+  struct InFlightMessage {
     Address from, to;
     Message message;
   };
   void post(const Address& from, const Address& to, Message message) { net_.push_back({from, to, std::move(message)}); }
-  void bring(const Letter& letter) {
+  void bring(const InFlightMessage& letter) {
     if (spoil && random_.chance(0.5)) {
       auto [from, message] = spoil(letter.from, letter.message, random_);
       deliver({from, letter.to, std::move(message)});
     }
     deliver(letter);
   }
-  void deliver(const Letter& letter) {
+  void deliver(const InFlightMessage& letter) {
     auto proposer = proposers_.find(letter.to);
     if (proposer != proposers_.end()) {
       proposer->second->on_message(letter.from, letter.message, TimePoint{now_});
@@ -220,7 +220,7 @@
   FleetState bootstrap_;
   std::map<Address, Copy> copies_;
   std::map<Address, std::unique_ptr<RegisterProposer>> proposers_;
-  std::vector<Letter> net_;
+  std::vector<InFlightMessage> net_;
   std::int64_t now_ = 1000;
   int last_mark_ = 0;
   std::set<std::string> acked_, refused_;
--- a/packages/configuration-register/tests/value_delta_test.cpp
+++ b/packages/configuration-register/tests/value_delta_test.cpp
@@ -23,7 +23,7 @@
          R"("})";
 }
 
-// The text of a traffic table, as long as a real one of that many routes.
+// The text of a routing table, as long as a real one of that many routes.
 std::string table_text(std::int64_t revision, int changed_route = -1) {
   std::string text = R"({"document":{"revision":)" + std::to_string(revision) + R"(,"routes":[)";
   for (int i = 0; i < route_count; ++i)
--- a/packages/control-plane/tests/routing_table_edits_test.cpp
+++ b/packages/control-plane/tests/routing_table_edits_test.cpp
@@ -1,4 +1,4 @@
-// Changes of the traffic table worked out on the register's state.
+// Changes of the routing table worked out on the register's state.
 #include "emberdale/routing_table_edits.hpp"
 
 #include <gtest/gtest.h>
--- a/packages/data-plane/tests/data_path_fuzz_test.cpp
+++ b/packages/data-plane/tests/data_path_fuzz_test.cpp
@@ -164,7 +164,7 @@
 
 }  // namespace
 
-// The finding, not a wish: the library empties its buffer between two requests of a connection.
+// The finding, not what is wanted: the library empties its buffer between two requests of a connection.
 TEST(HttpListenerBehaviour, ARequestThatCameAlongWithTheOneBeforeItIsDropped) {
   DataPath path;
   CallPlan plan;
--- a/packages/data-plane/tests/http_client_behaviour_test.cpp
+++ b/packages/data-plane/tests/http_client_behaviour_test.cpp
@@ -40,7 +40,7 @@
   http_client client(server.url());
   ASSERT_TRUE(ask(client, "/first"));
   ask(client, "/second");
-  // This is the finding, not a wish: the library sends it a second time by itself.
+  // This is the finding, not what is wanted: the library sends it a second time by itself.
   EXPECT_EQ(server.executions("/second"), 2);
 }
 
--- a/packages/small-types/include/emberdale/small_types.hpp
+++ b/packages/small-types/include/emberdale/small_types.hpp
@@ -84,7 +84,7 @@
 inline Failure failure(std::string reason) { return Failure{std::move(reason)}; }
 
 // A small seeded generator: the same seed gives the same numbers on every machine.
-// Example: Dice random generator{7}; random generator.below(100) is a number from 0 to 99.
+// Example: RandomGenerator random{7}; random.below(100) is a number from 0 to 99.
 class RandomGenerator {
  public:
   explicit RandomGenerator(std::uint64_t seed) : state_(seed * 2 + 0x9E3779B97F4A7C15ull) {}
