--- a/packages/message-tables/include/emberdale/avro_record_codec.hpp
+++ b/packages/message-tables/include/emberdale/avro_record_codec.hpp
@@ -136,7 +136,7 @@
 };
 
 // A field with a fixed set of texts; see record_enumerations.hpp.
-template <class Enumeration, std::optional<Enumeration> (*parse)(const std::string&)>
+template <class Enumeration, std::optional<Enumeration> (*Parse)(const std::string&)>
 struct EnumerationCodec {
   static std::string schema(SchemaWriter&) { return "\"string\""; }
   static void write(avro_value_t* slot, Enumeration value) { FieldCodec<std::string>::write(slot, to_string(value)); }
@@ -144,7 +144,7 @@
     constexpr std::size_t shown_bound = 32;
     std::string text;
     FieldCodec<std::string>::read(slot, text);
-    std::optional<Enumeration> known = parse(text);
+    std::optional<Enumeration> known = Parse(text);
     if (!known)
       throw std::runtime_error("the text '" + absl::CHexEscape(text.substr(0, shown_bound)) + "' is not known here");
     value = *known;
