--- a/packages/fleet-simulator/src/main.cpp
+++ b/packages/fleet-simulator/src/main.cpp
@@ -31,7 +31,8 @@
 prints how often each fault was injected and had an effect (days: the same). faults: the same with each
 fault alone, five seconds of every ten, and the calls it cost. measure: times and counts of named failures over )"
     R"(the seeds; scale: control work as the fleet grows.
-loopback: edge and data daemons over real connections, all in this process, that join a started fleet (hollow: the same).
+loopback (hollow: the same): edge and data daemons over real connections, all in this process, that join a started
+fleet.
 
 Options:
   --first N     First seed [default: 1].
